--- a/tests/users_platform/test_servers_soak.py
+++ b/tests/users_platform/test_servers_soak.py
@@ -44,10 +44,13 @@
         def lenient(document):
             try:
                 return strict(document)
-            except UnreadableDocumentError:
+            except UnreadableDocumentError as unreadable:
                 entry = document.content
-                address = Address.parse(entry["Address"])
-                return Backend(document.name, entry["Service"], address, "a")
+                try:
+                    address = Address.parse(entry["Address"])
+                    return Backend(document.name, str(entry["Service"]), address, "a")
+                except (KeyError, TypeError, ValueError, AttributeError):
+                    raise unreadable from None
 
         with mock.patch.object(translation, "read_server", lenient):
             report = ServersSoak(3, SECONDS).run()
