--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -1,4 +1,8 @@
-"""The coordinator's batch jobs: follows the store's jobs and ends, runs items, lists results."""
+"""Runs batch jobs on the coordinator: watches the store, schedules items and lists results.
+
+A result is *listed* once it is in a results segment in the store. A job's *end* is a document by
+which its submitter says that no more results are needed.
+"""
 
 from __future__ import annotations
 
@@ -32,38 +36,38 @@
 from runkeel.state.unchanging import get_unchanging
 
 LOAD_RETRY_SECONDS = 0.2
-"""Pause before jobs are read again after a failure of the store. Chosen, not measured."""
+"""Pause before a failed read of a job is retried."""
 
 WATCH_GRACE_SECONDS = 0.3
-"""The watch has so long to bring a job that a node has told of."""
+"""How long the watch may take to deliver a reported job before the job is fetched."""
 
 RETENTION_SECONDS = 150.0
-"""Jobs are removed from the store so long after their submission, once they have ended."""
+"""Age since submission from which an ended job is removed from the store."""
 
-SWEEP_SECONDS = 10.0
-"""Ended jobs are looked for so often. Chosen: short beside the time for which they are kept."""
+SWEEP_INTERVAL_SECONDS = 10.0
+"""Interval between two removals of expired jobs."""
 
-MAXIMUM_BYTES = 64 * 1024 * 1024
-"""Items and results that are kept in memory; of what is beyond that, those of ended jobs go."""
+MAX_MEMORY_BYTES = 64 * 1024 * 1024
+"""Total size of items and results above which ended jobs are unloaded."""
 
 TERM_SETTLE_SECONDS = 3.0
-"""Jobs that come later in a term have been run by nobody else."""
+"""Jobs that arrive later than this in a term are assumed not to have run under another term."""
 
-FIRST_LOAD_SECONDS = 0.6
-"""At the start of a term no item is placed for so long, until all jobs are loaded."""
+INITIAL_LOAD_TIMEOUT_SECONDS = 0.6
+"""Longest time that placement waits for stored jobs to load at the start of a term."""
 
-TEXTS_SECONDS = 0.4
-"""Texts that another node offers are waited for so long, from the start of the term."""
+PARTIAL_OUTPUT_WAIT_SECONDS = 0.4
+"""Time since the start of the term for which placement waits for offered partial outputs."""
 
-_POLL_SECONDS = 0.02
+_POLL_INTERVAL_SECONDS = 0.02
 
-RECENT_JOBS = 6
-"""Jobs of a model by which the engines that it needs are counted."""
+MAX_RECENT_JOBS = 6
+"""Number of latest jobs of a model from which its demand for engines is estimated."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Acceptance:
-    """What a job accepted when it came, and the newest version by then."""
+class _AcceptedVersions:
+    """The oldest version that a job accepts, and the newest one when the job was noted."""
 
     submitted_at: float
     minimum_version: int
@@ -71,17 +75,19 @@
 
 
 class JobCoordinator:
-    """Drives all batch jobs while this node coordinates; made anew for each term.
+    """Runs all batch jobs for one term of this node as coordinator.
 
     Args:
-        newest_version: newest version of a model, as named by its trainer.
-        on_superseded: called with the reason when another coordinator's work is seen.
-        texts_expected: a node may offer texts of the coordinator before; items wait for a moment.
-        earlier_runs_seconds: so long other nodes may still run items for the coordinator before,
-            by the number of items of all open jobs.
+        newest_version: returns the newest version of a model, as announced by its trainer.
+        on_superseded: called with the reason when a segment of a later epoch is found.
+        texts_expected: another node may offer partial outputs of the previous term; placement
+            waits for them, up to :data:`PARTIAL_OUTPUT_WAIT_SECONDS`.
+        earlier_runs_seconds: given the number of items of all open jobs, returns for how many
+            seconds other nodes may still run items for the previous coordinator.
 
     Attributes:
-        loaded: set once the jobs that stood in the store are known, so that :meth:`demand` is.
+        loaded: set once the initial load has finished or timed out; :meth:`demand` is valid from
+            then on.
     """
 
     def __init__(
@@ -103,61 +109,61 @@
         self._on_superseded = on_superseded
         self._started_at = steady_seconds()
         self._newest_version = newest_version
-        self._recent_items: dict[str, deque[int]] = {}
-        self._latest_minimum: dict[str, _Acceptance] = {}
+        self._recent_item_counts: dict[str, deque[int]] = {}
+        self._latest_accepted: dict[str, _AcceptedVersions] = {}
         self._scheduler = scheduler
         self._jobs: dict[str, JobState] = {}
-        self._ended: set[str] = set()
+        self._ended_ids: set[str] = set()
         self._loading: set[str] = set()
         self._unconfirmed: dict[str, JobState] = {}
-        """Jobs that run already, and of which the store has not told yet."""
+        """Running jobs that have not been seen in the store yet."""
         self._tasks: set[gevent.Greenlet] = set()
-        self._ends = DocumentWatcher(store, DocumentKind.JOB_END, self._end_changed)
-        self._submissions = DocumentWatcher(store, DocumentKind.JOB, self._job_changed)
+        self._end_watcher = DocumentWatcher(store, DocumentKind.JOB_END, self._end_changed)
+        self._job_watcher = DocumentWatcher(store, DocumentKind.JOB, self._job_changed)
 
     def start(self) -> None:
-        """Load what the store holds and follow it. Ends are read before jobs."""
-        self._spawn(self._begin)
-        self._spawn(self._sweep)
+        """Load the stored jobs, then watch the store. Ends are read before jobs."""
+        self._spawn(self._load_and_start)
+        self._spawn(self._remove_expired)
 
     def stop(self) -> None:
-        """End every run; what is listed stays."""
-        self._ends.stop()
-        self._submissions.stop()
+        """Stop all tasks and runs; listed results stay in the store."""
+        self._end_watcher.stop()
+        self._job_watcher.stop()
         for task in list(self._tasks):
             task.kill(block=False)
         self._scheduler.stop()
 
     def job(self, job_id: str) -> JobState | None:
-        """Return a job that is fully loaded, and still in memory."""
+        """Return a job if it is loaded and has not been unloaded."""
         state = self._jobs.get(job_id)
         return None if state is None or state.unloaded else state
 
-    def accepted(self, job_id: str) -> None:
-        """Take note that a job stands in the store; it is fetched if the watch doesn't bring it."""
-        if job_id not in self._jobs and job_id not in self._ended:
+    def on_accepted(self, job_id: str) -> None:
+        """Handle a report that a job is stored; fetches it if the watch doesn't deliver it."""
+        if job_id not in self._jobs and job_id not in self._ended_ids:
             self._spawn(self._fetch, job_id)
 
     def handed_over(self, job_id: str, encoded: EncodedJob) -> None:
-        """Run a job that is accepted and not in the store yet; it is listed once it is there."""
-        if job_id in self._jobs or job_id in self._ended or job_id in self._loading:
+        """Run an accepted job that is not stored yet; results are listed once it is."""
+        if job_id in self._jobs or job_id in self._ended_ids or job_id in self._loading:
             return
         try:
             job = decode_encoded_job(job_id, encoded)
         except (KeyError, TypeError, ValueError) as error:
-            logger.warning("job not understood", code="bad_hint", job=job_id, error=repr(error))
+            logger.warning("cannot decode job", code="bad_hint", job=job_id, error=repr(error))
             return
         JOBS.labels("handed_over").inc()
         self._run_unconfirmed(JobState(job, tuple(encoded.parts)))
 
     def begin_tentatively(self, copies: Iterable[CopiedJob]) -> None:
-        """Run the open jobs of the coordinator before, while the store can't be asked for them.
+        """Run copied jobs of the previous coordinator while the store is unavailable.
 
-        They are listed once :meth:`start` has found them in the store.
+        Their results are listed once :meth:`start` has found the jobs in the store.
         """
         for copy in copies:
             state = JobState(copy.job, copy.parts)
-            state.note_said_listed(copy.listed)
+            state.set_reported_listed(copy.listed)
             self._run_unconfirmed(state)
         self._scheduler.start()
 
@@ -166,12 +172,12 @@
         state.listing_known = False
         self._jobs[job_id] = self._unconfirmed[job_id] = state
         self._log_loaded(state, ended=False)
-        self._note_acceptance(state.job)
+        self._record_acceptance(state.job)
         self._scheduler.add(state)
 
     def end(self, job_id: str) -> None:
-        """Take note that a job has been ended; its end stands in the store."""
-        self._ended.add(job_id)
+        """Stop running a job whose end is in the store."""
+        self._ended_ids.add(job_id)
         state = self._jobs.get(job_id)
         if state is None or state.ended:
             return
@@ -189,8 +195,8 @@
         )
 
     def _unload_oldest(self) -> None:
-        """Drop what is known of ended jobs, the oldest first, while too much is kept."""
-        excess = sum(state.size for state in self._jobs.values()) - MAXIMUM_BYTES
+        """Unload ended jobs, oldest first, until the memory limit is met."""
+        excess = sum(state.size for state in self._jobs.values()) - MAX_MEMORY_BYTES
         ended = [state for state in self._jobs.values() if state.ended and not state.unloaded]
         for state in sorted(ended, key=lambda one: one.job.submitted_at):
             if excess <= 0:
@@ -199,48 +205,50 @@
             state.unload()
 
     def all(self) -> list[JobState]:
-        """Return the jobs that are loaded."""
+        """Return all known jobs, including unloaded ones."""
         return list(self._jobs.values())
 
     def demand(self, model: str, newest_version: int) -> ModelDemand:
-        """Return what the jobs accept of a model whose newest version is given."""
+        """Return which versions of a model the jobs accept, and how much work they have for it."""
         open_jobs = [
             state.job.minimum_version
             for state in self._jobs.values()
             if state.job.model == model and not state.ended and not state.complete
         ]
-        latest = self._latest_minimum.get(model)
+        latest = self._latest_accepted.get(model)
         slack = 0 if latest is None else max(0, latest.newest_version - latest.minimum_version)
-        items = max(self._recent_items.get(model, ()), default=None)
+        items = max(self._recent_item_counts.get(model, ()), default=None)
         pressed = self._scheduler.pressed(model)
         return ModelDemand(max(open_jobs, default=0), slack, items, pressed)
 
-    def page(self, state: JobState, position: int, wait: float, maximum_bytes: int) -> ResultPage:
-        """Return results of a job, waiting for one at the position."""
+    def page(self, state: JobState, position: int, wait: float, max_bytes: int) -> ResultPage:
+        """Return results from a position on, waiting up to ``wait`` seconds for the first."""
         if wait > 0:
             state.wait_beyond(position, wait)
-        return state.page(position, maximum_bytes)
+        return state.page(position, max_bytes)
 
     def _spawn(self, function: Callable[..., None], *arguments: object) -> None:
         task = gevent.spawn(function, *arguments)
         self._tasks.add(task)
         task.rawlink(self._tasks.discard)
 
-    def _begin(self) -> None:
-        """Read ends and jobs, then place items: those of the oldest jobs come first."""
-        self._ends.start()
-        self._ends.listed.wait()
-        self._submissions.start()
-        self._submissions.listed.wait()
-        deadline = steady_seconds() + FIRST_LOAD_SECONDS
+    def _load_and_start(self) -> None:
+        """Read ends, then jobs, and start placement only then, so that the oldest jobs go first."""
+        self._end_watcher.start()
+        self._end_watcher.listed.wait()
+        self._job_watcher.start()
+        self._job_watcher.listed.wait()
+        deadline = steady_seconds() + INITIAL_LOAD_TIMEOUT_SECONDS
         while self._loading and steady_seconds() < deadline:
-            gevent.sleep(_POLL_SECONDS)
+            gevent.sleep(_POLL_INTERVAL_SECONDS)
         self.loaded.set()
         if self._texts_expected and self._jobs:
-            gevent.sleep(max(0.0, self._started_at + TEXTS_SECONDS - steady_seconds()))
+            gevent.sleep(
+                max(0.0, self._started_at + PARTIAL_OUTPUT_WAIT_SECONDS - steady_seconds())
+            )
         items = sum(len(state.items) for state in self._jobs.values() if not state.ended)
-        over_at = self._started_at + self._earlier_runs_seconds(items)
-        gevent.sleep(max(0.0, over_at - steady_seconds()))
+        drained_at = self._started_at + self._earlier_runs_seconds(items)
+        gevent.sleep(max(0.0, drained_at - steady_seconds()))
         self._scheduler.start()
 
     def _end_changed(self, document: Document, removed: bool) -> None:
@@ -252,98 +260,110 @@
             self._jobs.pop(document.name, None)
             self._unconfirmed.pop(document.name, None)
             return
-        # Who asks for a job that had ended before this term is answered from the store.
+        # Jobs that ended before this term are not loaded: reads of them are served from the store.
         self._load_once(document)
-        if document.name in self._ended and document.name not in self._jobs:
-            self._note_ended(document)
-        # The body is kept in the job's state; the watcher's copy would hold it twice.
-        self._submissions.documents[document.name] = Document(
+        if document.name in self._ended_ids and document.name not in self._jobs:
+            self._record_ended_job(document)
+        # The job's state holds the content; drop the watcher's copy of it.
+        self._job_watcher.documents[document.name] = Document(
             document.kind, document.name, document.revision, None
         )
 
-    def _note_ended(self, document: Document) -> None:
-        """Learn from a job that had ended before this term what its model's jobs accept."""
+    def _record_ended_job(self, document: Document) -> None:
+        """Record the accepted versions and item count of a job that ended before this term."""
         if parts_of_job(document.content):
-            self._spawn(self._read_ended, document)
+            self._spawn(self._read_ended_job, document)
         else:
-            self._note_acceptance(decode_job(document.name, document.content))
+            self._record_acceptance(decode_job(document.name, document.content))
 
-    def _read_ended(self, document: Document) -> None:
+    def _read_ended_job(self, document: Document) -> None:
         job = self._read(document)
         if job is not None:
-            self._note_acceptance(job)
+            self._record_acceptance(job)
 
     def _read(self, document: Document) -> BatchJob | None:
-        """Return the job of a document, with its parts; None when it is gone."""
+        """Return the job of a document, with its parts; None if it has been removed."""
         while True:
             try:
                 return self._job_store.read(document)
             except RunkeelError as error:
                 logger.info(
-                    "job not read yet", code="job_delayed", job=document.name, error=error.detail
+                    "job read failed; retrying",
+                    code="job_delayed",
+                    job=document.name,
+                    error=error.detail,
                 )
                 gevent.sleep(LOAD_RETRY_SECONDS)
 
     def _fetch(self, job_id: str) -> None:
         gevent.sleep(WATCH_GRACE_SECONDS)
-        while job_id not in self._submissions.documents and job_id not in self._loading:
+        while job_id not in self._job_watcher.documents and job_id not in self._loading:
             try:
                 document = get_unchanging(self._store, DocumentKind.JOB, job_id)
             except RunkeelError as error:
-                logger.info("job not read yet", code="job_delayed", job=job_id, error=error.detail)
+                logger.info(
+                    "job read failed; retrying",
+                    code="job_delayed",
+                    job=job_id,
+                    error=error.detail,
+                )
                 gevent.sleep(LOAD_RETRY_SECONDS)
                 continue
             if document is not None:
-                logger.info("job fetched", code="job_fetched", job=job_id)
-                self._submissions.refresh("a job was not told")
+                logger.info("fetched job missed by the watch", code="job_fetched", job=job_id)
+                self._job_watcher.refresh("watch missed a job")
                 self._load_once(document)
             return
 
     def _load_once(self, document: Document) -> None:
-        """Load a job unless it is loaded or being loaded."""
+        """Load a job unless it is loaded, being loaded or ended; confirm it if it runs already."""
         name = document.name
         unconfirmed = self._unconfirmed.pop(name, None)
         if unconfirmed is not None:
-            self._spawn(self._confirm, unconfirmed, parts_of_job(document.content))
+            self._spawn(self._confirm_stored, unconfirmed, parts_of_job(document.content))
             return
-        if name in self._jobs or name in self._ended or name in self._loading:
+        if name in self._jobs or name in self._ended_ids or name in self._loading:
             return
         self._loading.add(name)
         self._spawn(self._load, document)
 
-    def _confirm(self, state: JobState, parts: tuple[str, ...]) -> None:
-        """Read what others have listed of a job that runs already, then list the rest."""
+    def _confirm_stored(self, state: JobState, parts: tuple[str, ...]) -> None:
+        """Read the listing of a running job that turned up in the store, then list the rest."""
         state.parts = parts
-        writer = ResultWriter(self._store, state, self._epoch, self._listed)
-        logger.info("job in the store", code="job_confirmed", job=state.job.job_id)
-        fenced = self._write(writer.fence)
+        writer = ResultWriter(self._store, state, self._epoch, self._on_listed)
+        logger.info("running job found in store", code="job_confirmed", job=state.job.job_id)
+        fenced = self._run_unless_superseded(writer.fence)
         state.listing_known = fenced
-        self._scheduler.add_items(state, state.drop_said_listed())
+        self._scheduler.add_items(state, state.clear_reported_listed())
         if fenced and not state.complete:
-            self._write(writer.run)
+            self._run_unless_superseded(writer.run)
 
     def _load(self, document: Document) -> None:
-        """Read what is already listed, then run the rest."""
+        """Load a job and run its unlisted items.
+
+        The listing is read first, and earlier coordinators fenced off, unless the job arrived
+        later in the term than :data:`TERM_SETTLE_SECONDS`.
+        """
         job = self._read(document)
         if job is None:
             self._loading.discard(document.name)
             return
         state = JobState(job, parts_of_job(document.content))
-        writer = ResultWriter(self._store, state, self._epoch, self._listed)
-        if not self._submitted_in_this_term() and not self._write(writer.fence):
+        writer = ResultWriter(self._store, state, self._epoch, self._on_listed)
+        if not self._submitted_in_this_term() and not self._run_unless_superseded(writer.fence):
             return
         self._jobs[document.name] = state
         self._loading.discard(document.name)
         JOBS.labels("loaded").inc()
-        ended = document.name in self._ended
+        ended = document.name in self._ended_ids
         self._log_loaded(state, ended)
-        self._note_acceptance(state.job)
+        self._record_acceptance(state.job)
         if ended:
             state.end()
         elif not state.complete:
             self._scheduler.add(state)
         if not state.complete:
-            self._spawn(self._write, writer.run)
+            self._spawn(self._run_unless_superseded, writer.run)
 
     def _log_loaded(self, state: JobState, ended: bool) -> None:
         job = state.job
@@ -361,58 +381,63 @@
             age_ms=int((time.time() - job.submitted_at) * 1000),
         )
 
-    def _note_acceptance(self, job: BatchJob) -> None:
-        self._note_items(job)
-        known = self._latest_minimum.get(job.model)
+    def _record_acceptance(self, job: BatchJob) -> None:
+        self._record_item_count(job)
+        known = self._latest_accepted.get(job.model)
         if known is not None and known.submitted_at >= job.submitted_at:
             return
         newest = self._newest_version(job.model)
         if newest:
-            self._latest_minimum[job.model] = _Acceptance(
+            self._latest_accepted[job.model] = _AcceptedVersions(
                 job.submitted_at, job.minimum_version, newest
             )
 
-    def _note_items(self, job: BatchJob) -> None:
-        """Keep how many items of the model were open when a job came, for the latest jobs."""
+    def _record_item_count(self, job: BatchJob) -> None:
+        """Record how many items of the model were open when a job arrived."""
         others = sum(
             len(state.items) - len(state.results)
             for state in self._jobs.values()
             if state.job.model == job.model and state.job.job_id != job.job_id and not state.ended
         )
-        recent = self._recent_items.setdefault(job.model, deque(maxlen=RECENT_JOBS))
+        recent = self._recent_item_counts.setdefault(job.model, deque(maxlen=MAX_RECENT_JOBS))
         recent.append(len(job.items) + others)
 
     def _submitted_in_this_term(self) -> bool:
-        """Return whether a job that comes now can't have been run by another coordinator."""
+        """Return whether a job that arrives now is assumed to be new in this term."""
         return steady_seconds() - self._started_at > TERM_SETTLE_SECONDS
 
-    def _write(self, write: Callable[[], None]) -> bool:
-        """Run a part of a writer; False when another coordinator has taken over."""
+    def _run_unless_superseded(self, write: Callable[[], None]) -> bool:
+        """Call a writer's method; returns False if another coordinator has taken over."""
         try:
             write()
         except SupersededError as error:
-            logger.warning("superseded", code="superseded", epoch=self._epoch, detail=str(error))
+            logger.warning(
+                "superseded by a later coordinator",
+                code="superseded",
+                epoch=self._epoch,
+                detail=str(error),
+            )
             self._on_superseded(str(error))
             return False
         return True
 
-    def _listed(self, state: JobState) -> None:
+    def _on_listed(self, state: JobState) -> None:
         if state.complete:
             JOBS.labels("complete").inc()
             self._scheduler.wake()
 
-    def _sweep(self) -> None:
-        """Remove from the store what nobody may ask for any more."""
+    def _remove_expired(self) -> None:
+        """Periodically remove ended jobs that are past their retention period."""
         while True:
-            gevent.sleep(SWEEP_SECONDS)
+            gevent.sleep(SWEEP_INTERVAL_SECONDS)
             now = time.time()
             for job_id, state in list(self._jobs.items()):
                 old = now - state.job.submitted_at > RETENTION_SECONDS
                 if old and state.ended:
                     self._remove(job_id, state)
                 elif old and job_id in self._unconfirmed:
-                    # Whoever kept it for the store has lost it, too.
-                    logger.warning("job never stored", code="job_lost", job=job_id)
+                    # The nodes that held the job until it could be stored have lost it too.
+                    logger.warning("job lost: it was never stored", code="job_lost", job=job_id)
                     self.end(job_id)
                     self._unconfirmed.pop(job_id)
                     self._jobs.pop(job_id)
@@ -421,8 +446,8 @@
         try:
             self._job_store.remove(job_id, state.parts, state.segments)
         except RunkeelError as error:
-            logger.info("job not removed", code="job_kept", job=job_id, error=str(error.code))
+            logger.info("job removal failed", code="job_kept", job=job_id, error=str(error.code))
             return
         self._jobs.pop(job_id, None)
-        self._ended.discard(job_id)
+        self._ended_ids.discard(job_id)
         logger.info("job removed", code="job_removed", job=job_id)
--- a/src/runkeel/jobs/job_state.py
+++ b/src/runkeel/jobs/job_state.py
@@ -50,7 +50,7 @@
         """Items with a result that is listed or to be listed."""
         self._whole_groups = 0
         self._listed: set[str] = set()
-        self._said_listed: frozenset[str] = frozenset()
+        self._reported_listed: frozenset[str] = frozenset()
         """Items that another node said to be listed, until that is read from the store."""
         self._changed = Event()
 
@@ -67,19 +67,19 @@
 
     def is_listed(self, item_id: str) -> bool:
         """Return whether an item's result is listed."""
-        return item_id in self._listed or item_id in self._said_listed
+        return item_id in self._listed or item_id in self._reported_listed
 
     def open_items(self) -> list[JobItem]:
         """Return the items without a listed result."""
         return [item for item in self.job.items if not self.is_listed(item.item_id)]
 
-    def note_said_listed(self, item_ids: frozenset[str]) -> None:
+    def set_reported_listed(self, item_ids: frozenset[str]) -> None:
         """Take from a node that knew it that items are listed, until that is read for certain."""
-        self._said_listed = item_ids
+        self._reported_listed = item_ids
 
-    def drop_said_listed(self) -> list[JobItem]:
+    def clear_reported_listed(self) -> list[JobItem]:
         """Go by what has been read; returns the items that are not listed after all."""
-        said, self._said_listed = self._said_listed, frozenset()
+        said, self._reported_listed = self._reported_listed, frozenset()
         return [item for item in self.open_items() if item.item_id in said]
 
     def add_unlisted(self, result: ItemResult) -> None:
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -241,7 +241,7 @@
 
     def _tell_accepted(self, job_id: str) -> None:
         if self.local is not None:
-            self.local.accepted(job_id)
+            self.local.on_accepted(job_id)
             return
         message = JobAccepted(self._shard, job_id)
         self._ask(MessageType.JOB_ACCEPTED, message, JobAcceptedReply, PEER_SECONDS)
@@ -387,7 +387,7 @@
     def _serve_accepted(self, peer: str, message: JobAccepted) -> tuple[int, JobAcceptedReply]:
         if self.local is None:
             return MessageType.JOB_ACCEPTED_REPLY, JobAcceptedReply(JobLookup.NOT_COORDINATOR)
-        self.local.accepted(message.job_id)
+        self.local.on_accepted(message.job_id)
         return MessageType.JOB_ACCEPTED_REPLY, JobAcceptedReply(JobLookup.FOUND)
 
     def _serve_end(self, peer: str, message: JobEnded) -> tuple[int, JobEndedReply]:
--- a/tests/jobs/test_coordinator.py
+++ b/tests/jobs/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Terms of coordinators on one store: nothing is listed behind the back of a later one."""
+"""Successive coordinators on one store: none lists results once a later one has loaded the job."""
 
 import unittest
 from dataclasses import replace
@@ -16,11 +16,11 @@
 from runkeel_lab.standins.document_store import MemoryDocumentStore
 from tests.jobs.test_job_service import JOB_ID, make_job
 
-LONGEST_WAIT_SECONDS = 10.0
+WAIT_TIMEOUT_SECONDS = 10.0
 
 
 class IdleScheduler:
-    """Runs nothing; the test lists results itself."""
+    """Runs no items; the test adds results itself."""
 
     def start(self):
         pass
@@ -47,7 +47,7 @@
 
 
 class RecordingScheduler(IdleScheduler):
-    """Notes in which order it is given jobs and started."""
+    """Records the order of the calls that add jobs and start placement."""
 
     def __init__(self):
         self.events = []
@@ -84,7 +84,7 @@
         return coordinator.job(JOB_ID)
 
     def _wait(self, condition):
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not condition():
             self.assertLess(steady_seconds(), deadline)
             gevent.sleep(0.01)
@@ -93,7 +93,7 @@
         return [one.item_id for one in state.results]
 
     def test_items_are_placed_once_all_jobs_are_loaded(self):
-        """agreste-grown scale-2: the oldest job, loaded last, found all slots taken."""
+        """Guards against the oldest job, loaded last, finding all slots taken."""
         first = self._term(1)
         for number in range(3):
             first.add_unlisted(result(number))
@@ -109,8 +109,8 @@
         self._wait(lambda: len(scheduler.events) == 3)
         self.assertEqual(scheduler.events[-1], "start")
 
-    def test_demand_is_known_once_the_jobs_are_loaded(self):
-        """sirca sweep at 300 machines: before that, every engine seemed needed (891 orders)."""
+    def test_demand_is_known_once_jobs_are_loaded(self):
+        """Guards against version orders to every engine while demand is still unknown."""
         self.store.call_seconds = 0.02
         coordinator = JobCoordinator(
             self.store, IdleScheduler(), 1, lambda model: 1, self.superseded.append
@@ -121,10 +121,10 @@
         self._wait(coordinator.loaded.is_set)
         self.assertIsNotNone(coordinator.demand("m", 1).items)
 
-    def test_ended_jobs_leave_the_memory_when_there_is_too_much(self):
-        """Trial with 241 engines: the coordinator was killed for its memory after 50 s."""
+    def test_ended_jobs_are_unloaded_above_the_memory_limit(self):
+        """Guards against the coordinator being killed for its memory use."""
         first = self._term(1)
-        with mock.patch.object(coordinator_module, "MAXIMUM_BYTES", first.size):
+        with mock.patch.object(coordinator_module, "MAX_MEMORY_BYTES", first.size):
             self.store.put(
                 DocumentKind.JOB, "second", encode_job(make_job(job_id="second"), "p").content
             )
@@ -135,7 +135,7 @@
         first.add_unlisted(result(0))
         self._wait(lambda: first.results)
 
-    def test_successor_continues_after_what_was_listed(self):
+    def test_successor_continues_after_listed_results(self):
         first = self._term(1)
         first.add_unlisted(result(2))
         self._wait(lambda: first.results)
@@ -143,7 +143,7 @@
         self.assertEqual(self._ids(second), self._ids(first))
 
     def test_earlier_coordinator_lists_nothing_after_its_successor_has_loaded(self):
-        """sirca mix 590690539674: a result read from one node was missing at the others."""
+        """Guards against a result that can be read from one node only."""
         first = self._term(1)
         first.add_unlisted(result(0))
         self._wait(lambda: first.results)
@@ -154,8 +154,11 @@
         second.add_unlisted(result(3))
         self._wait(lambda: len(second.results) == 2)
 
-    def test_job_that_was_handed_over_has_its_listing_read_before_it_is_told(self):
-        """A job sent again into a cut zone: 48 results had been read, the next term had none."""
+    def test_listing_of_handed_over_job_is_unknown_until_read(self):
+        """Guards against hiding results that clients have read in an earlier term.
+
+        This happened to a job that was submitted again in a partitioned zone.
+        """
         self.store.put(
             DocumentKind.JOB_RESULTS, segment_name(JOB_ID, 0), encode_segment(1, [result(0)])
         )
@@ -182,7 +185,7 @@
         third = self._term(3)
         self.assertEqual(self._ids(third), self._ids(second))
 
-    def test_job_ended_before_the_term_is_left_to_the_store(self):
+    def test_job_ended_before_the_term_is_not_loaded(self):
         self.store.put(DocumentKind.JOB_END, JOB_ID, {})
         coordinator = JobCoordinator(
             self.store, IdleScheduler(), 1, lambda model: 1, self.superseded.append
@@ -192,7 +195,7 @@
         gevent.sleep(0.3)
         self.assertIsNone(coordinator.job(JOB_ID))
 
-    def test_results_are_listed_at_once_when_the_trainer_has_all_it_waits_for(self):
+    def test_awaited_is_set_once_enough_groups_are_complete(self):
         job = make_job()
         half = len({item.group for item in job.items}) // 2
         state = JobState(replace(job, wanted_groups=half))
