--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -1,4 +1,7 @@
-"""Batch jobs as every node serves them: accept, read, end; asks the coordinator, else the store."""
+"""Serves batch jobs at every node: accepts, reads and ends them.
+
+Reads go to the coordinator first and fall back to the store.
+"""
 
 from __future__ import annotations
 
@@ -37,29 +40,26 @@
 )
 from runkeel.wire.network import PeerNetwork
 
-PEER_SECONDS = 0.6
-"""How long the coordinator's answer is waited for, beside the wait that was asked for."""
+PEER_TIMEOUT_SECONDS = 0.6
+"""Longest wait for the coordinator's reply, on top of the wait that the caller requested."""
 
-STORE_SECONDS = 0.5
-"""Longest wait for the store to take a job before storage machines are asked to keep it.
+STORE_TIMEOUT_SECONDS = 0.5
+"""Longest wait for the store to take a job before storage nodes are asked to keep it as a hint."""
 
-A store that is 85 times slower than usual answers in 0.35 s.
-"""
-
-STORE_RETRY_SECONDS = 0.1
-"""Pause before an acceptance is written again whose answer was lost. Chosen, not measured."""
+STORE_RETRY_DELAY_SECONDS = 0.1
+"""Pause before a write to the store is retried."""
 
 RETRY_AFTER_SECONDS = 0.3
-"""When a caller may come back that was refused because of the store. Chosen, not measured."""
+"""Retry-after value for requests that fail because of the store."""
 
-MAXIMUM_PAGE_BYTES = 900_000
-"""Most bytes of results in one page: below the limit of 1 MB that holds for documents."""
+MAX_PAGE_BYTES = 900_000
+"""Bound on the size of the results in one page; below the 1 MB limit on documents."""
 
-MAXIMUM_CACHED_BYTES = 24 * 1024 * 1024
-"""Jobs read from the store that a node keeps, with their results; those read longest ago go."""
+MAX_CACHED_BYTES = 24 * 1024 * 1024
+"""Bound on the cache of stored jobs and their results; the least recently read are evicted."""
 
 _ITEM_BYTES = 1_000
-"""What an item and its result take beside their texts, roughly."""
+"""Approximate size of an item and its result, apart from their texts."""
 
 
 @dataclass(slots=True)
@@ -72,14 +72,14 @@
 
     @property
     def size(self) -> int:
-        """Bytes in memory, roughly."""
+        """Approximate size in memory, in bytes."""
         bodies = sum(len(item.body) + _ITEM_BYTES for item in self.job.items)
         return bodies + sum(len(result.text) for result in self.results)
 
 
 @dataclass(frozen=True, slots=True)
 class _CoordinatorPage:
-    """What a coordinator told; ``verified`` when it was the coordinator a moment before."""
+    """A coordinator's page; ``verified`` if its term is confirmed and it has read the listing."""
 
     page: ResultPage
     verified: bool
@@ -98,42 +98,42 @@
     ) -> None:
         self._hints = hints
         self._store = store
-        self._jobs = JobStore(store)
+        self._job_store = JobStore(store)
         self._network = network
         self._election = election
         self._shard = shard
-        self._cache: OrderedDict[str, _CachedJob] = OrderedDict()
-        self._results = ResultCache()
+        self._job_cache: OrderedDict[str, _CachedJob] = OrderedDict()
+        self._result_cache = ResultCache()
         self.local: JobCoordinator | None = None
-        """The coordinator's part, while this node coordinates."""
+        """The job coordinator, while this node coordinates."""
         network.on_call(MessageType.JOB_READ, JobRead, self._serve_read)
         network.on_call(MessageType.JOB_ACCEPTED, JobAccepted, self._serve_accepted)
         network.on_call(MessageType.JOB_ENDED, JobEnded, self._serve_end)
         network.on_call(MessageType.JOB_ITEM_READ, JobItemRead, self._serve_item)
 
     def accept(self, job: BatchJob, deadline: float) -> None:
-        """Store a job; when this returns it is the system's to keep.
+        """Store a job durably.
 
         Raises:
-            RunkeelError: NOT_RUN when it is certain that the job was not taken.
+            RunkeelError: the job was not accepted (verdict NOT_RUN), or may have been.
         """
         submission = JobSubmission.of_job(self._store, job)
         verdict = Verdict.NOT_RUN
         while True:
             try:
-                submission.write(STORE_SECONDS)
+                submission.write(STORE_TIMEOUT_SECONDS)
             except DocumentConflictError as conflict:
                 if not may_be_of_tenant(conflict.current, job.tenant):
                     submission.discard_parts()
-                    raise not_run(ErrorCode.CONFLICT, "the id is taken") from conflict
-                logger.info("job known already", code="job_repeated", job=job.job_id)
+                    raise not_run(ErrorCode.CONFLICT, "job id already in use") from conflict
+                logger.info("job already stored", code="job_repeated", job=job.job_id)
                 if not submission.owns(conflict.current):
                     submission.discard_parts()
                 return
             except RunkeelError as error:
                 if error.verdict is not Verdict.NOT_RUN:
                     verdict = Verdict.MAY_HAVE_RUN
-                handed_over = self._hand_over(job, submission)
+                handed_over = self._store_hint(job, submission)
                 if handed_over is HintOutcome.ACCEPTED:
                     return
                 if handed_over is HintOutcome.UNSURE:
@@ -141,15 +141,15 @@
                 if verdict is Verdict.NOT_RUN:
                     submission.discard_parts()
                 if verdict is Verdict.NOT_RUN or steady_seconds() > deadline:
-                    self._refuse(job, error, verdict)
-                gevent.sleep(STORE_RETRY_SECONDS)
+                    self._fail_submission(job, error, verdict)
+                gevent.sleep(STORE_RETRY_DELAY_SECONDS)
             else:
                 _log_accepted(job, by="store")
-                gevent.spawn(self._tell_accepted, job.job_id)
+                gevent.spawn(self._notify_accepted, job.job_id)
                 return
 
-    def _hand_over(self, job: BatchJob, submission: JobSubmission) -> HintOutcome:
-        """Have a job that the store did not take kept by storage machines."""
+    def _store_hint(self, job: BatchJob, submission: JobSubmission) -> HintOutcome:
+        """Have storage nodes keep a job that could not be stored, until it can be."""
         if self._hints is None:
             return HintOutcome.REFUSED
         outcome = self._hints.keep(job.job_id, submission.encoded)
@@ -158,43 +158,43 @@
         return outcome
 
     def read(self, job: JobReference, position: int, wait_seconds: float) -> ResultPage | None:
-        """Return results from a position on; None when the tenant certainly has no such job.
+        """Return results from a position on; None if it is certain that there is no such job.
 
         Raises:
-            RunkeelError: neither the coordinator nor the store gave an answer.
+            RunkeelError: neither the coordinator nor the store could answer.
         """
-        if self.local is None and self._results.has_all(job):
-            return self._known_page(job, position)
+        if self.local is None and self._result_cache.has_all(job):
+            return self._page_from_cache(job, position)
         answer = self._read_from_coordinator(job, position, wait_seconds)
         if answer is not None and answer.verified:
             return answer.page
         try:
             return self._read_from_store(job, position)
         except RunkeelError:
-            # What has been listed stays so. That nothing more has been can't be told without the
-            # store: behind a cut, another coordinator may have listed all of it.
-            page = answer.page if answer is not None else self._known_page(job, position)
+            # Listed results never change, so known ones may be returned. An empty page may not:
+            # in a network partition, another coordinator may have listed more.
+            page = answer.page if answer is not None else self._page_from_cache(job, position)
             if not page.results:
                 raise
             return page
 
     def item_body(self, job: JobReference, item_id: str) -> str | None:
-        """Return an item's body in base64; None when the tenant certainly has no such item."""
+        """Return an item's base64 body; None if it is certain that there is no such item."""
         body = self._item_from_coordinator(job, item_id)
         if body is not None:
             return body
-        cached = self._cached(job)
+        cached = self._get_cached(job)
         if cached is None:
             return None
         return next((item.body for item in cached.job.items if item.item_id == item_id), None)
 
     def end(self, job: JobReference, deadline: float) -> bool:
-        """End a job for good; False when the tenant certainly has no such job."""
+        """End a job permanently; False if it is certain that there is no such job."""
         job_id = job.job_id
-        ended = self._ended_at_coordinator(job)
+        ended = self._is_ended_at_coordinator(job)
         if ended:
             return True
-        if ended is None and self._cached(job) is None:
+        if ended is None and self._get_cached(job) is None:
             return False
         while True:
             try:
@@ -206,16 +206,16 @@
                     raise RunkeelError(
                         error.code, error.detail, Verdict.MAY_HAVE_RUN, RETRY_AFTER_SECONDS
                     ) from error
-                gevent.sleep(STORE_RETRY_SECONDS)
+                gevent.sleep(STORE_RETRY_DELAY_SECONDS)
             else:
                 break
         logger.info("job end stored", code="job_end", job=job_id)
-        self._tell_end(job_id)
+        self._notify_end(job_id)
         return True
 
-    def _refuse(self, job: BatchJob, error: RunkeelError, verdict: Verdict) -> None:
+    def _fail_submission(self, job: BatchJob, error: RunkeelError, verdict: Verdict) -> None:
         logger.warning(
-            "job not accepted",
+            "job submission failed",
             code="job_refused",
             job=job.job_id,
             verdict=verdict.name,
@@ -224,37 +224,41 @@
         raise RunkeelError(error.code, error.detail, verdict, RETRY_AFTER_SECONDS) from error
 
     def _local_state(self, job: JobReference) -> JobState | None:
-        """Return a tenant's job as the coordinator's part at this node holds it."""
+        """Return a tenant's job from the coordinator of this node."""
         state = self.local.job(job.job_id) if self.local is not None else None
         return state if state is not None and state.job.tenant == job.tenant else None
 
-    def _ended_at_coordinator(self, job: JobReference) -> bool | None:
-        """Return whether the coordinator knows a job as ended; None when it doesn't know it."""
+    def _is_ended_at_coordinator(self, job: JobReference) -> bool | None:
+        """Return whether a job has ended; None if the coordinator does not know the job."""
         if self.local is not None:
             state = self._local_state(job)
             return None if state is None else state.ended
         message = JobItemRead(self._shard, job.job_id, "", job.tenant)
-        reply = self._ask(MessageType.JOB_ITEM_READ, message, JobItemReadReply, PEER_SECONDS)
+        reply = self._call_coordinator(
+            MessageType.JOB_ITEM_READ, message, JobItemReadReply, PEER_TIMEOUT_SECONDS
+        )
         if reply is None or reply.lookup != JobLookup.FOUND:
             return None
         return reply.ended
 
-    def _tell_accepted(self, job_id: str) -> None:
+    def _notify_accepted(self, job_id: str) -> None:
         if self.local is not None:
             self.local.on_accepted(job_id)
             return
         message = JobAccepted(self._shard, job_id)
-        self._ask(MessageType.JOB_ACCEPTED, message, JobAcceptedReply, PEER_SECONDS)
+        self._call_coordinator(
+            MessageType.JOB_ACCEPTED, message, JobAcceptedReply, PEER_TIMEOUT_SECONDS
+        )
 
-    def _tell_end(self, job_id: str) -> None:
+    def _notify_end(self, job_id: str) -> None:
         if self.local is not None:
             self.local.end(job_id)
             return
         message = JobEnded(self._shard, job_id)
-        self._ask(MessageType.JOB_ENDED, message, JobEndedReply, PEER_SECONDS)
+        self._call_coordinator(MessageType.JOB_ENDED, message, JobEndedReply, PEER_TIMEOUT_SECONDS)
 
-    def _ask(self, message_type: int, message, reply_class, timeout: float):
-        """Ask the coordinator; None when there is none or it gave no answer."""
+    def _call_coordinator(self, message_type: int, message, reply_class, timeout: float):
+        """Call another node that coordinates; None if there is none or it did not reply."""
         coordinator = self._election.coordinator
         if coordinator is None or coordinator.node_id == self._election.node_id:
             return None
@@ -264,7 +268,7 @@
             )
         except RunkeelError as error:
             logger.info(
-                "coordinator not reached",
+                "call to coordinator failed",
                 code="coordinator_unreached",
                 coordinator=coordinator.node_id,
                 epoch=coordinator.epoch,
@@ -279,24 +283,28 @@
             state = self._local_state(job)
             if state is None:
                 return None
-            page = self.local.page(state, position, wait_seconds, MAXIMUM_PAGE_BYTES)
+            page = self.local.page(state, position, wait_seconds, MAX_PAGE_BYTES)
             return _CoordinatorPage(page, self._election.verified and state.listing_known)
-        # Only what this node has not read yet is asked for.
-        known = self._results.from_position(job, position)
+        # Request only results that this node has not cached.
+        known = self._result_cache.from_position(job, position)
         wait = 0.0 if known else wait_seconds
         first = position + len(known)
         wait_ms = int(wait * 1000)
-        message = JobRead(self._shard, job.job_id, first, wait_ms, MAXIMUM_PAGE_BYTES, job.tenant)
-        reply = self._ask(MessageType.JOB_READ, message, JobReadReply, wait + PEER_SECONDS)
+        message = JobRead(self._shard, job.job_id, first, wait_ms, MAX_PAGE_BYTES, job.tenant)
+        reply = self._call_coordinator(
+            MessageType.JOB_READ, message, JobReadReply, wait + PEER_TIMEOUT_SECONDS
+        )
         if reply is None or reply.lookup != JobLookup.FOUND:
             return None
-        self._results.add(job, reply.total, first, (_from_wire(result) for result in reply.results))
-        return _CoordinatorPage(self._known_page(job, position), reply.verified)
+        self._result_cache.add(
+            job, reply.total, first, (_from_wire(result) for result in reply.results)
+        )
+        return _CoordinatorPage(self._page_from_cache(job, position), reply.verified)
 
-    def _known_page(self, job: JobReference, position: int) -> ResultPage:
-        """Return what has been read before."""
-        results = self._results.from_position(job, position)
-        page = page_of(results, self._results.total(job), 0, MAXIMUM_PAGE_BYTES)
+    def _page_from_cache(self, job: JobReference, position: int) -> ResultPage:
+        """Return the cached results from a position on."""
+        results = self._result_cache.from_position(job, position)
+        page = page_of(results, self._result_cache.total(job), 0, MAX_PAGE_BYTES)
         return replace(page, position=position)
 
     def _item_from_coordinator(self, job: JobReference, item_id: str) -> str | None:
@@ -305,13 +313,15 @@
             item = state.items.get(item_id) if state else None
             return item.body if item else None
         message = JobItemRead(self._shard, job.job_id, item_id, job.tenant)
-        reply = self._ask(MessageType.JOB_ITEM_READ, message, JobItemReadReply, PEER_SECONDS)
+        reply = self._call_coordinator(
+            MessageType.JOB_ITEM_READ, message, JobItemReadReply, PEER_TIMEOUT_SECONDS
+        )
         if reply is None or reply.lookup != JobLookup.FOUND:
             return None
         return reply.body if reply.known_item else None
 
     def _read_from_store(self, job: JobReference, position: int) -> ResultPage | None:
-        cached = self._cached(job)
+        cached = self._get_cached(job)
         if cached is None:
             return None
         while len(cached.results) < len(cached.job.items):
@@ -321,53 +331,53 @@
             if document is None:
                 break
             if cached.segments == number:
-                # Another task may have read the same segment meanwhile.
+                # Otherwise another task has added this segment in the meantime.
                 cached.results.extend(decode_segment(document.content)[1])
                 cached.segments += 1
-        return page_of(cached.results, len(cached.job.items), position, MAXIMUM_PAGE_BYTES)
+        return page_of(cached.results, len(cached.job.items), position, MAX_PAGE_BYTES)
 
-    def _cached(self, job: JobReference) -> _CachedJob | None:
-        """Return a tenant's job as read from the store; None: the tenant has no such job.
+    def _get_cached(self, job: JobReference) -> _CachedJob | None:
+        """Return a tenant's job as read from the store; None if there is certainly no such job.
 
         Raises:
-            RunkeelError: the store gave no answer, or the job is still on its way there.
+            RunkeelError: the store did not answer, or the job is accepted but not stored yet.
         """
         cached = self._read_job(job.job_id)
         if cached is None:
-            cached = self._rule_out(job.job_id)
+            cached = self._confirm_absent(job.job_id)
         return cached if cached is not None and cached.job.tenant == job.tenant else None
 
-    def _rule_out(self, job_id: str) -> _CachedJob | None:
-        """Return None if there is certainly no such job, whoever may have accepted it.
+    def _confirm_absent(self, job_id: str) -> _CachedJob | None:
+        """Return None if no node can have accepted a job, else the job.
 
-        Every answer that says so goes by this. What was accepted stands in the store, or on the
-        disks of machines that hand it on; so the store is read once more after these were asked.
+        An accepted job is in the store, or kept as a hint by storage nodes that move it there. The
+        store is therefore read again after these nodes have answered that they have no hint.
 
         Raises:
-            RunkeelError: the job is on its way to the store, or too few machines were heard.
+            RunkeelError: the job is not stored yet, or too few storage nodes answered.
         """
         if self._hints is None:
             return None
         trace = self._hints.trace(job_id)
         if trace is JobTrace.RULED_OUT:
             return self._read_job(job_id)
-        detail = "the job is not stored yet"
+        detail = "job is accepted but not stored yet"
         if trace is JobTrace.UNSURE:
-            detail = "too few of the machines that may keep the job were heard"
+            detail = "job not found, but too few of the storage nodes that may keep it answered"
         raise not_run(ErrorCode.STORE_UNAVAILABLE, detail, RETRY_AFTER_SECONDS)
 
     def _read_job(self, job_id: str) -> _CachedJob | None:
-        cached = self._cache.get(job_id)
+        cached = self._job_cache.get(job_id)
         if cached is not None:
-            self._cache.move_to_end(job_id)
+            self._job_cache.move_to_end(job_id)
             return cached
-        job = self._jobs.get(job_id)
+        job = self._job_store.get(job_id)
         if job is None:
             return None
-        cached = self._cache[job_id] = _CachedJob(job)
-        total = sum(one.size for one in self._cache.values())
-        while total > MAXIMUM_CACHED_BYTES and len(self._cache) > 1:
-            total -= self._cache.popitem(last=False)[1].size
+        cached = self._job_cache[job_id] = _CachedJob(job)
+        total = sum(one.size for one in self._job_cache.values())
+        while total > MAX_CACHED_BYTES and len(self._job_cache) > 1:
+            total -= self._job_cache.popitem(last=False)[1].size
         return cached
 
     def _serve_read(self, peer: str, message: JobRead) -> tuple[int, JobReadReply]:
--- a/tests/jobs/test_job_service.py
+++ b/tests/jobs/test_job_service.py
@@ -1,4 +1,4 @@
-"""Batch jobs as a node without a coordinator serves them: from the store alone."""
+"""Batch jobs served from the store, from a coordinator and from what a node has cached."""
 
 import time
 import unittest
@@ -43,17 +43,17 @@
 
 
 class SilentNetwork:
-    """A peer network on which nobody answers."""
+    """A peer network on which every call fails."""
 
     def on_call(self, message_type, request_class, handler):
         pass
 
     def call(self, *arguments):
-        raise RunkeelError("peer_unreachable", "nobody", Verdict.NOT_RUN)
+        raise RunkeelError("peer_unreachable", "no peers", Verdict.NOT_RUN)
 
 
 class CoordinatorNetwork(SilentNetwork):
-    """A coordinator that lists results; notes from where it is read. Can fall silent."""
+    """A coordinator with listed results; records the positions read. Calls fail while silent."""
 
     def __init__(self, total):
         self.total = total
@@ -83,7 +83,7 @@
 
 
 class LocalCoordinator:
-    """The coordinator's part at this node, with one job."""
+    """A job coordinator at this node, with one job."""
 
     def __init__(self, state):
         self.state = state
@@ -112,22 +112,22 @@
         name = segment_name(JOB_ID, number)
         self.store.put(DocumentKind.JOB_RESULTS, name, encode_segment(1, results))
 
-    def test_accepted_job_stands_in_the_store(self):
+    def test_accepted_job_is_in_the_store(self):
         self.service.accept(make_job(), self._deadline())
         self.assertEqual(self.store.names(DocumentKind.JOB), [JOB_ID])
 
-    def test_job_sent_again_is_taken_once(self):
+    def test_job_submitted_again_is_stored_once(self):
         self.service.accept(make_job(), self._deadline())
         revision = self.store.revision
         self.service.accept(make_job(), self._deadline())
         self.assertEqual(self.store.revision, revision)
 
-    def test_lost_answer_of_the_store_still_accepts(self):
+    def test_job_is_accepted_when_the_reply_of_the_store_is_lost(self):
         self.store.fail_next_write(StoreFault.ANSWER_LOST)
         self.service.accept(make_job(), self._deadline())
         self.assertEqual(self.store.names(DocumentKind.JOB), [JOB_ID])
 
-    def test_refused_at_once_when_nothing_was_done(self):
+    def test_refused_at_once_when_the_store_is_down(self):
         self.store.down = True
         started = steady_seconds()
         with self.assertRaises(RunkeelError) as caught:
@@ -143,7 +143,7 @@
             self.service.accept(make_job(), self._deadline(0.15))
         self.assertIs(caught.exception.verdict, Verdict.MAY_HAVE_RUN)
 
-    def test_unknown_job_is_told_only_by_the_store(self):
+    def test_job_is_reported_as_unknown_only_if_the_store_answers(self):
         self.assertIsNone(self.service.read(JobReference("other"), 0, 0.0))
         self.store.down = True
         with self.assertRaises(RunkeelError):
@@ -158,8 +158,8 @@
         self.assertEqual([one.text for one in page.results], ["text 1", "text 2"])
         self.assertEqual(page.total, 4)
 
-    def test_tasks_that_read_the_same_segment_do_not_double_it(self):
-        """sirca trouble-2, snapshot 628d: TWICE, a position held another result than before."""
+    def test_concurrent_reads_add_a_segment_once(self):
+        """Guards against duplicate results, which shift the positions of later ones."""
         self.store.put(DocumentKind.JOB, JOB_ID, encode_job(make_job(), "part").content)
         self._put_results(0, make_results(2))
         self._put_results(1, make_results(2, start=2))
@@ -171,7 +171,7 @@
         ids = [result.item_id for result in page.results]
         self.assertEqual(ids, [f"{JOB_ID}-{n}" for n in range(4)])
 
-    def test_what_a_node_has_read_is_not_read_again(self):
+    def test_cached_results_are_not_read_again(self):
         network = CoordinatorNetwork(4)
         service = JobService(self.store, network, OtherCoordinator(), "shard")
         network.results = make_results(2)
@@ -183,7 +183,7 @@
         self.assertEqual(service.read(JobReference(JOB_ID), 3, 0.0).results, ())
         self.assertEqual(network.positions, [0, 2, 3])
 
-    def test_job_that_is_known_whole_is_read_without_asking_anybody(self):
+    def test_completely_cached_job_is_read_without_any_call(self):
         network = CoordinatorNetwork(2)
         service = JobService(self.store, network, OtherCoordinator(), "shard")
         network.results = make_results(2)
@@ -196,7 +196,7 @@
         beyond = service.read(JobReference(JOB_ID), 2, 0.0)
         self.assertEqual((beyond.results, beyond.total, beyond.position), ((), 2, 2))
 
-    def test_what_a_node_has_read_is_shown_without_coordinator_and_store(self):
+    def test_cached_results_are_served_without_coordinator_and_store(self):
         network = CoordinatorNetwork(4)
         service = JobService(self.store, network, OtherCoordinator(), "shard")
         network.results = make_results(2)
@@ -209,10 +209,10 @@
         with self.assertRaises(RunkeelError):
             service.read(JobReference(JOB_ID), 2, 0.0)
 
-    def test_that_nothing_is_listed_is_told_by_a_coordinator_of_the_store_only(self):
-        """Behind a cut a zone's own coordinator knew a job anew, with nothing listed.
+    def test_empty_page_of_an_unverified_coordinator_is_not_served(self):
+        """Guards against hiding listed results in a network partition.
 
-        39 results had been read elsewhere; a node of the zone answered 200 without any.
+        A partitioned zone's own coordinator may have a job without the results listed elsewhere.
         """
         network = CoordinatorNetwork(4)
         service = JobService(self.store, network, OtherCoordinator(), "shard")
@@ -224,7 +224,7 @@
         network.results = make_results(3)
         self.assertEqual(len(service.read(JobReference(JOB_ID), 2, 0.0).results), 1)
 
-    def test_coordinator_that_has_not_read_a_listing_leaves_it_to_the_store(self):
+    def test_results_come_from_the_store_while_the_listing_is_unknown(self):
         self.store.put(DocumentKind.JOB, JOB_ID, encode_job(make_job(), "part").content)
         self._put_results(0, make_results(3))
         state = JobState(make_job())
@@ -241,7 +241,7 @@
         self.assertEqual(self.service.item_body(JobReference(JOB_ID), f"{JOB_ID}-2"), "Ym9keQ==")
         self.assertIsNone(self.service.item_body(JobReference(JOB_ID), "nothing"))
 
-    def test_end_is_stored_and_may_be_repeated(self):
+    def test_end_is_stored_and_idempotent(self):
         self.store.put(DocumentKind.JOB, JOB_ID, encode_job(make_job(), "part").content)
         self.assertTrue(self.service.end(JobReference(JOB_ID), self._deadline()))
         self.assertTrue(self.service.end(JobReference(JOB_ID), self._deadline()))
