--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CoordinatorPage:
-    """A coordinator's page; ``verified`` if its term is confirmed and it has read the listing."""
+    """A coordinator's page; ``verified`` if the store has just confirmed the coordinator."""
 
     page: ResultPage
     verified: bool
--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -15,7 +15,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 from runkeel.jobs.generation_run import PartialText
-from runkeel.jobs.text_replication import CALL_SECONDS, TextCopies, text_update
+from runkeel.jobs.text_replication import CALL_TIMEOUT_SECONDS, TextCopies, make_update
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import TextReplication, TextReplicationReply, TextUpdate
 from runkeel.wire.network import PeerNetwork
@@ -82,7 +82,7 @@
         wanted = self._deliver(coordinator, epoch, offers)
         for first in range(0, len(wanted), BATCH_TEXTS):
             batch = wanted[first : first + BATCH_TEXTS]
-            updates = [text_update(one, texts[one], None) for one in batch if one in texts]
+            updates = [make_update(one, texts[one], None) for one in batch if one in texts]
             self._deliver(coordinator, epoch, updates)
         logger.info(
             "texts offered",
@@ -111,7 +111,7 @@
                 MessageType.TEXT_REPLICATION,
                 message,
                 TextReplicationReply,
-                CALL_SECONDS,
+                CALL_TIMEOUT_SECONDS,
             )
         except RunkeelError as error:
             logger.info(
--- a/src/runkeel/jobs/text_replication.py
+++ b/src/runkeel/jobs/text_replication.py
@@ -1,9 +1,9 @@
-"""Copies the text of running generations to the coordinator's successor.
+"""Replicates the partial outputs of running items to the coordinator's likely successors.
 
-The coordinator sends what has been added, a few times a second, to the node that would replace it.
-When that node becomes coordinator, it continues each generation after the last event that it has,
-instead of running it anew. A lost copy costs time, never a result. Nodes with a disk keep the texts
-there as well, see :mod:`runkeel.jobs.text_journal`.
+The coordinator periodically sends each successor the events added since the last update. A
+successor that becomes coordinator continues each generation after the last event that it has,
+instead of restarting it. A lost copy costs time, never a result. Nodes with a disk also write
+partial outputs to a journal, see :mod:`runkeel.jobs.text_journal`.
 """
 
 from __future__ import annotations
@@ -23,31 +23,28 @@
 from runkeel.wire.generated.jobs.ttypes import TextReplication, TextReplicationReply, TextUpdate
 from runkeel.wire.network import PeerNetwork
 
-INTERVAL_SECONDS = 0.4
-"""Texts are sent to successors so often; what is newer is generated again after a loss.
+SEND_INTERVAL_SECONDS = 0.4
+"""Interval between updates; a failover loses the output generated since the last one."""
 
-Chosen, not measured.
-"""
-
-CALL_SECONDS = 1.0
-"""Longest wait for a successor's receipt. Chosen, not measured."""
+CALL_TIMEOUT_SECONDS = 1.0
+"""Longest wait for a successor's reply."""
 
-KEPT_SECONDS = 30.0
-"""A copy that is not updated for so long is dropped."""
+RETENTION_SECONDS = 30.0
+"""Time since its last update after which a copy is evicted."""
 
-MAXIMUM_COPIES = 4_000
-"""Most texts that a successor keeps; the oldest go first. Chosen, not measured."""
+MAX_COPIES = 4_000
+"""Bound on the copies that a node keeps; the oldest are evicted first."""
 
-MESSAGE_BYTES = 500_000
-"""Text in one message. A larger one may not arrive within its time over a slow link."""
+MAX_MESSAGE_BYTES = 500_000
+"""Bound on the text in one message, in bytes; larger ones may time out on a slow link."""
 
 _NO_GENERATION = 0
-"""Generation in an update that has a copy dropped; those of texts begin at 1."""
+"""Marks an update that removes a copy; the generations of outputs begin at 1."""
 
 
 @dataclass(slots=True)
-class SentText:
-    """What the successor has of a text."""
+class SentOutput:
+    """How much of a partial output a receiver has."""
 
     generation: int
     pieces: int
@@ -55,12 +52,13 @@
 
 
 class TextSender:
-    """Sends the texts of one term to those who may succeed; one task.
+    """Sends the partial outputs of one term to successors and to this node's journal.
 
     Args:
-        texts: the texts that are running, waiting or not listed yet, by item.
-        journal: this node's own; None: it has no disk.
-        finished: tells whether an item's result is listed, so that its copies may go.
+        texts: returns the outputs of items that are running, waiting or not listed yet, by item.
+        successors: returns the nodes that receive copies.
+        journal: this node's own; None if it has no disk.
+        finished: returns whether an item's result is listed, so that its copies may be removed.
     """
 
     def __init__(
@@ -75,38 +73,38 @@
     ) -> None:
         self._finished = finished
         self._journal = journal
-        self._written: dict[str, SentText] = {}
+        self._journaled: dict[str, SentOutput] = {}
         self._network = network
         self._shard = shard
         self._epoch = epoch
         self._texts = texts
         self._successors = successors
-        self._sent: dict[str, dict[str, SentText]] = {}
+        self._sent: dict[str, dict[str, SentOutput]] = {}
         self._task = BackgroundTask(self._run)
 
     def start(self) -> None:
-        """Start to send."""
+        """Start sending periodically."""
         self._task.start()
 
     def stop(self) -> None:
-        """Stop to send."""
+        """Stop sending."""
         self._task.stop()
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(INTERVAL_SECONDS)
+            gevent.sleep(SEND_INTERVAL_SECONDS)
             self.send_once()
 
     def send_once(self) -> None:
-        """Send each successor what it does not have yet."""
+        """Send each successor, and write to the journal, what it does not have yet."""
         receivers = self._successors()
         self._sent = {one: sent for one, sent in self._sent.items() if one in receivers}
         texts = self._texts()
         sends = [gevent.spawn(self._send_to, receiver, texts) for receiver in receivers]
-        sends.append(gevent.spawn(self._write, texts))
+        sends.append(gevent.spawn(self._write_journal, texts))
         gevent.joinall(sends)
 
-    def _write(self, texts: dict[str, PartialText]) -> None:
+    def _write_journal(self, texts: dict[str, PartialText]) -> None:
         if self._journal is not None:
             self._journal.append(lambda begins_file: self._journal_messages(texts, begins_file))
 
@@ -114,91 +112,91 @@
         self, texts: dict[str, PartialText], begins_file: bool
     ) -> list[TextReplication]:
         if begins_file:
-            self._written.clear()
-        updates = self._updates(texts, self._written)
-        _note_sent(updates, self._written)
+            self._journaled.clear()
+        updates = self._missing_updates(texts, self._journaled)
+        _record_sent(updates, self._journaled)
         return _messages(self._shard, self._epoch, updates)
 
     def _send_to(self, receiver: str, texts: dict[str, PartialText]) -> None:
-        """Send a receiver what it lacks, in messages of a bounded size."""
+        """Send a receiver its missing updates; stops at the first message that fails."""
         known = self._sent.setdefault(receiver, {})
-        for message in _messages(self._shard, self._epoch, self._updates(texts, known)):
+        for message in _messages(self._shard, self._epoch, self._missing_updates(texts, known)):
             if not self._send_message(receiver, message, known):
                 return
 
     def _send_message(
-        self, receiver: str, message: TextReplication, known: dict[str, SentText]
+        self, receiver: str, message: TextReplication, known: dict[str, SentOutput]
     ) -> bool:
-        """Send some updates; False when no answer came."""
+        """Send a message; returns False if no reply arrived."""
         try:
             reply = self._network.call(
                 receiver,
                 MessageType.TEXT_REPLICATION,
                 message,
                 TextReplicationReply,
-                CALL_SECONDS,
+                CALL_TIMEOUT_SECONDS,
             )
         except RunkeelError as error:
             logger.info(
-                "texts not delivered",
+                "sending partial outputs failed",
                 code="texts_undelivered",
                 to=receiver,
                 items=len(message.updates),
                 error=str(error.code),
             )
-            # What arrived is unknown: these texts are sent again, from their beginning.
+            # The receiver may or may not have them: send these outputs again from the beginning.
             for update in message.updates:
                 known.pop(update.item_id, None)
             return False
-        _note_sent(message.updates, known)
+        _record_sent(message.updates, known)
         for item_id in reply.missing:
             known.pop(item_id, None)
         return True
 
-    def _updates(
-        self, texts: dict[str, PartialText], known: dict[str, SentText]
+    def _missing_updates(
+        self, texts: dict[str, PartialText], known: dict[str, SentOutput]
     ) -> list[TextUpdate]:
-        """Return what a receiver lacks of all texts, and which of its copies it may drop."""
+        """Return the updates that a receiver lacks, removals of finished items first."""
         gone = [item_id for item_id in known if item_id not in texts]
-        updates = [_dropped(item_id) for item_id in gone if self._finished(item_id)]
+        updates = [_removal(item_id) for item_id in gone if self._finished(item_id)]
         for item_id in gone:
             del known[item_id]
         updates += [
             update
             for item_id, text in texts.items()
-            if (update := text_update(item_id, text, known.get(item_id))) is not None
+            if (update := make_update(item_id, text, known.get(item_id))) is not None
         ]
         return updates
 
 
-def _dropped(item_id: str) -> TextUpdate:
+def _removal(item_id: str) -> TextUpdate:
     return TextUpdate(item_id, _NO_GENERATION, 0, [], "", [], False)
 
 
 def _messages(shard: str, epoch: int, updates: list[TextUpdate]) -> list[TextReplication]:
-    """Return updates in messages of a bounded size."""
+    """Group updates into messages of at most :data:`MAX_MESSAGE_BYTES` or one update."""
     batches: list[list[TextUpdate]] = []
     room = 0
     for update in updates:
         size = sum(len(piece) for piece in update.pieces)
         if size > room or not batches:
             batches.append([])
-            room = MESSAGE_BYTES
+            room = MAX_MESSAGE_BYTES
         batches[-1].append(update)
         room -= size
     return [TextReplication(shard, epoch, batch, False) for batch in batches]
 
 
-def _note_sent(updates: list[TextUpdate], known: dict[str, SentText]) -> None:
+def _record_sent(updates: list[TextUpdate], known: dict[str, SentOutput]) -> None:
     for update in updates:
         if update.generation == _NO_GENERATION:
             continue
         pieces = update.first_piece + len(update.pieces)
-        known[update.item_id] = SentText(update.generation, pieces, update.whole)
+        known[update.item_id] = SentOutput(update.generation, pieces, update.whole)
 
 
-def text_update(item_id: str, text: PartialText, sent: SentText | None) -> TextUpdate | None:
-    """Return what a receiver lacks of a text, None when it has it all."""
+def make_update(item_id: str, text: PartialText, sent: SentOutput | None) -> TextUpdate | None:
+    """Return the part of an output that a receiver lacks; None if it is up to date."""
     first = sent.pieces if sent is not None and sent.generation == text.generation else 0
     if sent is not None and first == len(text.pieces) and sent.whole == text.whole:
         return None
@@ -220,10 +218,10 @@
 
 
 class TextCopies:
-    """The successor's copies; always ready to receive.
+    """A node's copies of partial outputs; receives updates at any time.
 
     Args:
-        journal: this node's own; None: it has no disk. What it holds is taken over.
+        journal: this node's own; None if it has no disk. Copies are restored from it.
     """
 
     def __init__(self, network: PeerNetwork, journal: TextJournal | None = None) -> None:
@@ -232,20 +230,20 @@
         self._journal = journal
         if journal is not None:
             self._restore(journal.load())
-        self._hand_over: Callable[[list[TextUpdate]], list[str]] = lambda updates: []
+        self._handover_handler: Callable[[list[TextUpdate]], list[str]] = lambda updates: []
         network.on_call(MessageType.TEXT_REPLICATION, TextReplication, self._receive)
 
     @property
     def epoch(self) -> int:
-        """The latest epoch whose coordinator sent copies."""
+        """The latest epoch of the copies."""
         return self._epoch
 
     def on_hand_over(self, receive: Callable[[list[TextUpdate]], list[str]]) -> None:
-        """Have texts that are handed to this coordinator received; returns the items wanted."""
-        self._hand_over = receive
+        """Set the handler of updates handed to this coordinator; it returns the wanted items."""
+        self._handover_handler = receive
 
     def hold(self, epoch: int, item_id: str, text: PartialText) -> None:
-        """Keep a text that this node itself has read, for the coordinator of a later term."""
+        """Keep an output that this node has read itself, for the coordinator of a later term."""
         if epoch < self._epoch:
             return
         if epoch > self._epoch:
@@ -254,11 +252,11 @@
         known = self._copies.get(item_id)
         if known is None or known.text.precedence < text.precedence:
             self._copies[item_id] = _Copy(text, steady_seconds())
-            self._forget_old()
+            self._evict()
 
     def fresh(self) -> dict[str, PartialText]:
-        """Return the copies that are still fresh; they stay, and must not be changed."""
-        oldest = steady_seconds() - KEPT_SECONDS
+        """Return the outputs updated within the retention period; callers must not modify them."""
+        oldest = steady_seconds() - RETENTION_SECONDS
         return {
             item_id: copy.text
             for item_id, copy in self._copies.items()
@@ -266,12 +264,12 @@
         }
 
     def take(self) -> dict[str, PartialText]:
-        """Return the copies that are still fresh and forget them all."""
-        texts = {item_id: _own_text(text) for item_id, text in self.fresh().items()}
+        """Return the outputs updated within the retention period and remove all copies."""
+        texts = {item_id: _with_own_generation(text) for item_id, text in self.fresh().items()}
         self._copies.clear()
         if texts:
             logger.info(
-                "texts taken over",
+                "partial outputs taken over from copies",
                 code="texts_taken",
                 items=len(texts),
                 events=sum(len(text.pieces) for text in texts.values()),
@@ -281,7 +279,7 @@
 
     def _receive(self, peer: str, message: TextReplication) -> tuple[int, TextReplicationReply]:
         if message.handover:
-            wanted = self._hand_over(message.updates)
+            wanted = self._handover_handler(message.updates)
             return MessageType.TEXT_REPLICATION_REPLY, TextReplicationReply(wanted)
         missing: list[str] = []
         if message.epoch >= self._epoch:
@@ -290,8 +288,8 @@
                 self._epoch = message.epoch
             now = steady_seconds()
             missing = [one.item_id for one in message.updates if not self._apply(one, now)]
-            self._forget_old()
-            self._write(message)
+            self._evict()
+            self._write_journal(message)
         return MessageType.TEXT_REPLICATION_REPLY, TextReplicationReply(missing)
 
     def _restore(self, records: list[JournalRecord]) -> None:
@@ -302,21 +300,21 @@
                 self._epoch = record.message.epoch
             for update in record.message.updates:
                 self._apply(update, now - record.age_seconds)
-        self._forget_old()
+        self._evict()
 
-    def _write(self, message: TextReplication) -> None:
+    def _write_journal(self, message: TextReplication) -> None:
         if self._journal is not None:
             self._journal.append(
-                lambda begins_file: self._whole(message) if begins_file else [message]
+                lambda begins_file: self._full_messages(message) if begins_file else [message]
             )
 
-    def _whole(self, message: TextReplication) -> list[TextReplication]:
-        """Return messages with all copies; the given one is reflected in them already."""
-        updates = [text_update(one, copy.text, None) for one, copy in self._copies.items()]
+    def _full_messages(self, message: TextReplication) -> list[TextReplication]:
+        """Return messages with all copies in full; they already include the given message."""
+        updates = [make_update(one, copy.text, None) for one, copy in self._copies.items()]
         return _messages(message.shard, message.epoch, updates)
 
     def _apply(self, update: TextUpdate, now: float) -> bool:
-        """Add an update to its copy; False when earlier pieces are missing."""
+        """Apply an update to its copy; returns False if earlier pieces are missing."""
         if update.generation == _NO_GENERATION:
             self._copies.pop(update.item_id, None)
             return True
@@ -333,19 +331,19 @@
         copy.updated_at = now
         return True
 
-    def _forget_old(self) -> None:
-        oldest = steady_seconds() - KEPT_SECONDS
+    def _evict(self) -> None:
+        oldest = steady_seconds() - RETENTION_SECONDS
         for item_id in [one for one, copy in self._copies.items() if copy.updated_at < oldest]:
             del self._copies[item_id]
-        while len(self._copies) > MAXIMUM_COPIES:
+        while len(self._copies) > MAX_COPIES:
             self._copies.pop(next(iter(self._copies)))
 
 
 def _continues(text: PartialText, update: TextUpdate) -> bool:
-    """Return whether an update begins where a copy ends."""
+    """Return whether an update starts exactly where a copy ends."""
     return text.generation == update.generation and len(text.pieces) == update.first_piece
 
 
-def _own_text(text: PartialText) -> PartialText:
-    """Return a copy's text with a generation of this process."""
+def _with_own_generation(text: PartialText) -> PartialText:
+    """Return a copy of an output with a new generation number of this process."""
     return PartialText(text.pieces, text.last_event_id, text.versions, text.whole)
--- a/tests/jobs/test_text_fuzz.py
+++ b/tests/jobs/test_text_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzing of copies and journals of texts, and proof that it finds the faults it is meant for."""
+"""Fuzzes copies and journals of partial outputs; mutants prove that it finds the target faults."""
 
 import os
 import unittest
@@ -30,17 +30,17 @@
 
 
 def continues_with_gap(text, update):
-    """The mutant of _continues: what a lost message had is not missed."""
+    """Mutant of _continues that does not detect pieces lost with a message."""
     return text.generation == update.generation
 
 
 def update_of_any_run(item_id, text, sent):
-    """The mutant of text_update: a text that began anew is told as the growth of the one before."""
+    """Mutant of make_update that sends a restarted output as a continuation of the previous one."""
     known = replace(sent, generation=text.generation) if sent is not None else None
-    return text_update(item_id, text, known)
+    return make_update(item_id, text, known)
 
 
-text_update = text_replication.text_update
+make_update = text_replication.make_update
 
 
 class TextFuzzTest(unittest.TestCase):
@@ -54,7 +54,7 @@
 
     def test_joined_runs_are_found(self):
         with mock.patch.object(text_replication, "_continues", continues_with_gap):
-            self.check_found(text_replication, "text_update", update_of_any_run)
+            self.check_found(text_replication, "make_update", update_of_any_run)
 
     def test_gaps_are_found(self):
         self.check_found(text_replication, "_continues", continues_with_gap)
@@ -64,7 +64,7 @@
             return 0
 
         with mock.patch.object(text_journal, "_checksum", ignore_checksum):
-            # Without a checksum the compressed body still shows the damage: nothing wrong is read.
+            # Decompression still detects a truncated record.
             run_state_machine_as_test(TextMachine, settings=fuzz_settings(EXAMPLES // 3))
 
 
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_text_journal.py
@@ -9,7 +9,7 @@
 from runkeel.jobs import text_journal, text_replication
 from runkeel.jobs.generation_run import PartialText
 from runkeel.jobs.text_journal import TextJournal
-from runkeel.jobs.text_replication import KEPT_SECONDS, TextCopies, TextSender
+from runkeel.jobs.text_replication import RETENTION_SECONDS, TextCopies, TextSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
@@ -96,7 +96,7 @@
     def test_texts_larger_than_a_message_are_written_in_several_records(self):
         """Trial with 241 engines: 19 MB of texts were no message, and the writer's task died."""
         sender, _ = self._process()
-        piece = "x" * (text_replication.MESSAGE_BYTES // 2)
+        piece = "x" * (text_replication.MAX_MESSAGE_BYTES // 2)
         self.texts = {f"t{n}": PartialText([piece], "1", [1]) for n in range(40)}
         sender.send_once()
         self.assertEqual(sorted(self._process(epoch=2)[1]), sorted(self.texts))
@@ -150,7 +150,7 @@
     def test_texts_that_were_not_written_for_long_are_left_out(self):
         now = time.time()
         sender, _ = self._process()
-        for name, age in (("old", KEPT_SECONDS + 1.0), ("i", 1.0)):
+        for name, age in (("old", RETENTION_SECONDS + 1.0), ("i", 1.0)):
             self.texts[name] = self._text(2)
             with mock.patch.object(text_journal.time, "time", return_value=now - age):
                 sender.send_once()
--- a/tests/jobs/test_text_replication.py
+++ b/tests/jobs/test_text_replication.py
@@ -1,11 +1,11 @@
-"""Texts of running generations reach the coordinator's successor."""
+"""Replication of partial outputs to the coordinator's successors."""
 
 import unittest
 from unittest import mock
 
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs.generation_run import PartialText
-from runkeel.jobs.text_replication import MESSAGE_BYTES, TextCopies, TextSender
+from runkeel.jobs.text_replication import MAX_MESSAGE_BYTES, TextCopies, TextSender
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
@@ -33,7 +33,7 @@
             finished=lambda item_id: item_id in self.finished,
         )
 
-    def test_successor_has_the_text(self):
+    def test_successor_has_the_output(self):
         self.texts["i"] = make_text("x", "y", versions=(1, 2))
         self.sender.send_once()
         self.texts["i"].pieces.append("z")
@@ -43,7 +43,7 @@
         self.assertEqual(copy.pieces, ["x", "y", "z"])
         self.assertEqual((copy.last_event_id, copy.versions), ("3", [1, 2]))
 
-    def test_text_started_anew_replaces_the_copy(self):
+    def test_restarted_output_replaces_the_copy(self):
         text = self.texts["i"] = make_text("x", "y")
         self.sender.send_once()
         text.clear()
@@ -53,8 +53,8 @@
         copy = self.copies.take()["i"]
         self.assertEqual((copy.pieces, copy.versions), (["p", "q", "r"], [2]))
 
-    def test_another_text_of_the_same_item_replaces_the_copy(self):
-        """A copy joined from two runs would be continued as one text (ORDER, VERSION)."""
+    def test_another_output_of_the_same_item_replaces_the_copy(self):
+        """Guards against a copy that joins pieces of two runs."""
         self.texts["i"] = make_text("a", "b", versions=(1,))
         self.sender.send_once()
         self.texts["i"] = make_text("p", "q", "r", versions=(2,))
@@ -62,14 +62,14 @@
         copy = self.copies.take()["i"]
         self.assertEqual((copy.pieces, copy.versions), (["p", "q", "r"], [2]))
 
-    def test_text_taken_over_is_told_apart_from_those_of_this_node(self):
+    def test_output_taken_over_has_a_new_generation(self):
         self.texts["i"] = make_text("a", "b")
         self.sender.send_once()
         taken = self.copies.take()["i"]
         self.assertNotEqual(taken.generation, self.texts["i"].generation)
 
-    def test_copies_of_listed_items_are_dropped_and_others_stay(self):
-        """kitami-grown quiet-1: 1,028 texts were handed over for some 100 that were open."""
+    def test_copies_of_listed_items_are_removed_and_others_stay(self):
+        """Guards against handing over outputs of items that are already listed."""
         self.finished = {"i"}
         self.texts["i"], self.texts["j"] = make_text("x"), make_text("y")
         self.sender.send_once()
@@ -77,7 +77,7 @@
         self.sender.send_once()
         self.assertEqual(list(self.copies.take()), ["j"])
 
-    def test_item_that_comes_again_is_copied_again(self):
+    def test_item_that_is_run_again_is_copied_again(self):
         self.finished = {"i"}
         self.texts["i"] = make_text("x")
         self.sender.send_once()
@@ -87,14 +87,14 @@
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["p", "q"])
 
-    def test_end_of_a_text_is_told(self):
+    def test_completion_is_replicated(self):
         text = self.texts["i"] = make_text("x")
         self.sender.send_once()
         text.whole = True
         self.sender.send_once()
         self.assertTrue(self.copies.take()["i"].whole)
 
-    def test_lost_update_is_made_good(self):
+    def test_lost_update_is_sent_again(self):
         text = self.texts["i"] = make_text("x")
         self.sender.send_once()
         self.network.silent.add("b")
@@ -105,7 +105,7 @@
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["x", "y", "z"])
 
-    def test_restarted_successor_asks_for_the_whole_text(self):
+    def test_restarted_successor_requests_the_full_output(self):
         text = self.texts["i"] = make_text("x")
         self.sender.send_once()
         self.copies = TextCopies(self.network.node("b"))
@@ -115,7 +115,7 @@
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["x", "y"])
 
-    def test_new_successor_gets_everything(self):
+    def test_new_successor_gets_full_outputs(self):
         other = TextCopies(self.network.node("c"))
         self.texts["i"] = make_text("x", "y")
         self.sender.send_once()
@@ -123,16 +123,16 @@
         self.sender.send_once()
         self.assertEqual(other.take()["i"].pieces, ["x", "y"])
 
-    def test_older_coordinator_changes_nothing(self):
+    def test_updates_of_an_earlier_epoch_are_ignored(self):
         self.texts["i"] = make_text("new")
         self._sender(2).send_once()
         self.texts["i"] = make_text("old", "old")
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["new"])
 
-    def test_texts_that_are_large_together_come_in_several_messages(self):
-        """Trial with 241 engines: one message of all texts never arrived in its time."""
-        piece = "x" * (MESSAGE_BYTES // 4)
+    def test_large_updates_are_split_into_several_messages(self):
+        """Guards against one message of all outputs that times out."""
+        piece = "x" * (MAX_MESSAGE_BYTES // 4)
         for number in range(9):
             self.texts[f"i{number}"] = make_text(piece)
         sizes = []
@@ -147,9 +147,9 @@
             self.sender.send_once()
         self.assertEqual((sizes, apply.call_count), ([4, 4, 1], 9))
 
-    def test_after_a_lost_message_the_others_are_not_sent_again(self):
-        """Trial with 241 engines: each lost answer had all texts sent again, and lost more."""
-        piece = "x" * (MESSAGE_BYTES // 2)
+    def test_delivered_messages_are_not_sent_again_after_a_lost_one(self):
+        """Guards against each lost reply causing all outputs to be sent again."""
+        piece = "x" * (MAX_MESSAGE_BYTES // 2)
         for number in range(4):
             self.texts[f"i{number}"] = make_text(piece)
         receive, sent = self.copies._receive, []
@@ -166,7 +166,7 @@
         self.assertEqual(sent, [["i0", "i1"], ["i2", "i3"], ["i2", "i3"]])
         self.assertEqual(len(self.copies.take()), 4)
 
-    def test_text_that_a_node_has_read_itself_is_kept_for_a_later_term(self):
+    def test_output_read_by_the_node_itself_is_kept_for_a_later_term(self):
         self.copies.hold(3, "i", make_text("x", "y"))
         self.copies.hold(3, "i", make_text("x"))
         self.copies.hold(2, "j", make_text("z"))
@@ -174,7 +174,7 @@
         taken = self.copies.take()
         self.assertEqual({name: text.pieces for name, text in taken.items()}, {"i": ["x", "y"]})
 
-    def test_unreachable_successor_is_no_error(self):
+    def test_unreachable_successor_raises_no_error(self):
         self.network.silent.add("b")
         self.texts["i"] = make_text("x")
         self.sender.send_once()
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/text_machine.py
@@ -1,8 +1,8 @@
-"""Random histories of running texts, their copies at another node and their journals on disks.
+"""State machine for the fuzzing of partial outputs, their copies and their journals.
 
-An item begins, grows, begins anew, is listed or dropped; messages and replies are lost; processes
-restart and take over; the end of a journal is torn off. The oracle knows every text that an item
-ever had. It checks that whatever is taken over is one of them, never joined from two runs.
+Items start, grow, restart, are listed or dropped; messages and replies are lost; processes restart
+and take over; journals are truncated. The oracle records every output that an item ever had, and
+checks that each output taken over is one of them, never joined from two runs.
 """
 
 import shutil
@@ -22,14 +22,14 @@
 
 ITEMS = 1
 JOURNAL_BYTES = 600
-"""Small, so that files are rotated."""
+"""Small enough that files are rotated."""
 
 item_names = strategies.sampled_from([f"i{n}" for n in range(ITEMS)])
 growths = strategies.integers(1, 4)
 
 
 class _LossyNode:
-    """A node's network whose next call may be lost, before or after it was handled."""
+    """A node's network that can lose the next call, before or after it is handled."""
 
     def __init__(self, node):
         self._node = node
@@ -48,7 +48,7 @@
 
 
 class TextMachine(RuleBasedStateMachine):
-    """A coordinator with a successor; both have disks."""
+    """A coordinator and a successor, both with journals."""
 
     def __init__(self):
         super().__init__()
@@ -96,11 +96,11 @@
             lambda item: item in self.listed,
         )
 
-    def _note(self, item):
+    def _record(self, item):
         self.history.setdefault(item, set()).add(tuple(self.texts[item].pieces))
 
     def _take_over(self, name):
-        """Let a node coordinate from what it has; what it takes must have been."""
+        """Make a node coordinator from its copies; each must be an output that the item had."""
         self.epoch += 1
         self.texts = self.copies[name].take()
         self.listed.clear()
@@ -112,13 +112,13 @@
 
     @rule(item=item_names, growth=growths)
     def grow_and_send(self, item, growth):
-        """An item makes events, and they are sent."""
+        """An item produces events, and they are sent."""
         self.grow(item, growth)
         self.sender.send_once()
 
     @rule(item=item_names, growth=growths)
     def grow(self, item, growth):
-        """An item makes events; it begins if it doesn't run."""
+        """An item produces events; it starts if it is not running."""
         self.listed.discard(item)
         text = self.texts.setdefault(item, PartialText())
         if not text.pieces:
@@ -127,14 +127,14 @@
             text.pieces.append(f"{item} of run {self.runs}, piece {len(text.pieces)}")
         text.last_event_id = str(len(text.pieces))
         text.versions = [1]
-        self._note(item)
+        self._record(item)
 
     @rule(item=item_names)
-    def begin_anew(self, item):
-        """An item's text no longer fits its job."""
+    def restart(self, item):
+        """An item's output is discarded and generated again."""
         if item in self.texts:
             self.texts[item].clear()
-            self._note(item)
+            self._record(item)
 
     @rule(item=item_names, listed=strategies.booleans())
     def end(self, item, listed):
@@ -144,27 +144,27 @@
 
     @rule(lose=strategies.sampled_from(["", "", "message", "reply"]))
     def send(self, lose):
-        """What was added is sent; the message or its reply may be lost."""
+        """New events are sent; the message or its reply may be lost."""
         self.link.lose = lose
         self.sender.send_once()
 
-    def _tear(self, name, count):
-        """Tear bytes off the end of a node's journal."""
+    def _truncate(self, name, count):
+        """Truncate a node's journal by a number of bytes."""
         files = sorted((self.folder / name).glob("*.log"))
         if files and count:
             files[-1].write_bytes(files[-1].read_bytes()[:-count])
 
-    @rule(torn=strategies.integers(0, 60))
-    def successor_restarts(self, torn):
-        """Its process ends; it has what its disk has, which may be less than it had received."""
-        self._tear(self.other, torn)
+    @rule(truncated_bytes=strategies.integers(0, 60))
+    def successor_restarts(self, truncated_bytes):
+        """The successor restarts from its journal, which may lack the last updates it received."""
+        self._truncate(self.other, truncated_bytes)
         self.copies[self.other] = self._restored(self.other)
 
-    @rule(torn=strategies.integers(0, 60), successor=strategies.booleans())
-    def coordinator_ends(self, torn, successor):
-        """Its process ends, maybe in a write; it or the other node coordinates from then on."""
+    @rule(truncated_bytes=strategies.integers(0, 60), successor=strategies.booleans())
+    def coordinator_ends(self, truncated_bytes, successor):
+        """The coordinator's process ends, possibly mid-write; either node takes over."""
         before = self.coordinator
-        self._tear(before, torn)
+        self._truncate(before, truncated_bytes)
         if successor:
             self._take_over(self.other)
             self.copies[before] = self._restored(before)
