--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -1,11 +1,11 @@
-"""Batch jobs, their results and their ends as documents in the store.
-
-A job is one document, made before it is accepted. The items of one that is too large for a document
-stand in parts, made before it. Results are segments named by job and number;
-a segment is made once and never changed, and number N+1 is made only by who has read number N.
-A new coordinator makes an empty one first: who finds a segment of a later epoch writes no more, so
-that nothing is listed behind the new coordinator's back. The order and content of results are thus
-the same for everybody, whoever wrote them.
+"""Encodes batch jobs and their results as documents in the store.
+
+A job is one document, created before the job is accepted. If it is too large for one document, its
+items are in part documents, created before it. Results are in segments named by job and number.
+Segments are immutable, and segment N+1 is created only by a coordinator that has read segment N.
+A new coordinator first creates an empty segment. A coordinator that finds a segment of a later
+epoch stops writing, so it can't list results that the new coordinator has not read. All readers
+therefore see the same results in the same order.
 """
 
 from __future__ import annotations
@@ -18,12 +18,15 @@
 from runkeel.api.documents import MAXIMUM_CONTENT_BYTES, Document
 from runkeel.api.jobs import BatchJob, ItemResult, JobItem, ResultState, ScorerCall
 
-PART_BYTES = 128_000
-"""Size of a part. Links may carry a few megabytes a second: it is written well within a second."""
+MAX_PART_BYTES = 128_000
+"""Bound on the size of a part, in bytes, unless a single item is larger.
 
-SEGMENT_SEPARATOR = "."
-_SEPARATOR_BYTES = 2
-"""Between the items of a JSON list."""
+Small enough to be written well within a second at a few megabytes per second.
+"""
+
+_SEGMENT_SEPARATOR = "."
+_ITEM_SEPARATOR_BYTES = 2
+"""Length of the separator between the items of a JSON list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,8 +34,8 @@
     """A job as it is stored.
 
     Attributes:
-        content: of its document.
-        parts: by name, the contents of the documents that hold its items; empty if it holds them.
+        content: content of the job's document.
+        parts: contents of the part documents by name; empty if the job's document has the items.
     """
 
     content: dict[str, Any]
@@ -40,55 +43,55 @@
 
 
 def job_text(encoded: EncodedJob) -> str:
-    """Return a job's document and parts as one text, for other nodes and for disks."""
+    """Serialize a job's document and parts as JSON."""
     return json.dumps({"content": encoded.content, "parts": encoded.parts})
 
 
 def job_from_text(text: str) -> EncodedJob:
-    """Return what :func:`job_text` wrote. Raises KeyError, TypeError or ValueError."""
+    """Parse the output of :func:`job_text`. Raises KeyError, TypeError or ValueError."""
     fields = json.loads(text)
     return EncodedJob(dict(fields["content"]), dict(fields["parts"]))
 
 
 def decode_encoded_job(job_id: str, encoded: EncodedJob) -> BatchJob:
-    """Return the job of a document and its parts. Raises KeyError, TypeError or ValueError."""
+    """Decode a job from its encoded form. Raises KeyError, TypeError or ValueError."""
     return decode_job(job_id, encoded.content, list(encoded.parts.values()))
 
 
 def segment_name(job_id: str, number: int) -> str:
     """Return the name of a job's results segment."""
-    return f"{job_id}{SEGMENT_SEPARATOR}{number:05d}"
+    return f"{job_id}{_SEGMENT_SEPARATOR}{number:05d}"
 
 
 def encode_job(job: BatchJob, part_prefix: str) -> EncodedJob:
-    """Return a job's document and the parts that hold its items; none if they fit the document.
+    """Encode a job, with its items in parts if they are too large for one document.
 
     Args:
-        part_prefix: of the names of the parts.
+        part_prefix: prefix of the names of the parts.
     """
     items = [_encode_item(item) for item in job.items]
-    content = _encode_head(job)
-    parts = _in_parts(items)
-    if len(parts) * PART_BYTES <= MAXIMUM_CONTENT_BYTES:
+    content = _encode_fields(job)
+    parts = _split_into_parts(items)
+    if len(parts) * MAX_PART_BYTES <= MAXIMUM_CONTENT_BYTES:
         return EncodedJob(content | {"items": items}, {})
-    names = [f"{part_prefix}{SEGMENT_SEPARATOR}{number:03d}" for number in range(len(parts))]
+    names = [f"{part_prefix}{_SEGMENT_SEPARATOR}{number:03d}" for number in range(len(parts))]
     return EncodedJob(content | {"parts": names}, dict(zip(names, parts, strict=True)))
 
 
-def _in_parts(items: list[dict[str, Any]]) -> list[list[dict[str, Any]]]:
+def _split_into_parts(items: list[dict[str, Any]]) -> list[list[dict[str, Any]]]:
     parts: list[list[dict[str, Any]]] = []
-    room = 0
+    remaining = 0
     for item in items:
-        size = len(json.dumps(item)) + _SEPARATOR_BYTES
-        if size > room:
+        size = len(json.dumps(item)) + _ITEM_SEPARATOR_BYTES
+        if size > remaining:
             parts.append([])
-            room = PART_BYTES
+            remaining = MAX_PART_BYTES
         parts[-1].append(item)
-        room -= size
+        remaining -= size
     return parts
 
 
-def _encode_head(job: BatchJob) -> dict[str, Any]:
+def _encode_fields(job: BatchJob) -> dict[str, Any]:
     return {
         "host": job.host,
         "path": job.path,
@@ -103,26 +106,29 @@
 
 
 def tenant_of_job(content: dict[str, Any]) -> str:
-    """Return whose job a document is of; empty: nobody's."""
+    """Return the tenant of a job's document; empty if it has none."""
     return str(content.get("tenant", ""))
 
 
 def may_be_of_tenant(document: Document | None, tenant: str) -> bool:
-    """Return whether a job's document may be that of a tenant's job; None: it isn't known."""
+    """Return whether a job's document may belong to a tenant; true if its content is unknown."""
     if document is None or document.content is None:
         return True
     return tenant_of_job(document.content) == tenant
 
 
 def parts_of_job(content: dict[str, Any]) -> tuple[str, ...]:
-    """Return the names of the parts of a job's document; none if it holds the items itself."""
+    """Return the names of a job's parts; empty if its document has the items."""
     return tuple(content.get("parts", ()))
 
 
 def decode_job(
     job_id: str, content: dict[str, Any], parts: Sequence[list[dict[str, Any]]] = ()
 ) -> BatchJob:
-    """Return the job of a document and its parts. Raises KeyError or ValueError."""
+    """Decode a job from the contents of its document and parts.
+
+    Raises KeyError, TypeError or ValueError.
+    """
     items = [item for part in parts for item in part] if parts else content["items"]
     return BatchJob(
         job_id=job_id,
@@ -139,12 +145,12 @@
 
 
 def encode_segment(epoch: int, results: list[ItemResult]) -> dict[str, Any]:
-    """Return the content of a results segment, with the epoch of the coordinator that writes it."""
+    """Encode a results segment with the epoch of the coordinator that writes it."""
     return {"epoch": epoch, "results": _encode_results(results)}
 
 
 def decode_segment(content: dict[str, Any]) -> tuple[int, list[ItemResult]]:
-    """Return the writer's epoch and the results of a segment."""
+    """Decode a results segment into its writer's epoch and its results."""
     return int(content["epoch"]), _decode_results(content["results"])
 
 
--- a/src/runkeel/jobs/text_journal.py
+++ b/src/runkeel/jobs/text_journal.py
@@ -1,12 +1,12 @@
-"""Texts of running generations on a machine's own disk.
+"""Journal of partial outputs on a node's own disk.
 
-All machines may lose power at once; then no copy in memory is left, and every generation would
-begin anew. A node that has a disk therefore writes what it has of the running texts there as well,
-and offers it to the next coordinator after its restart. A journal that is lost costs time, never a
-result: nothing that was promised depends on it.
+If all machines lose power at once, no copy in memory remains and every generation would restart.
+Nodes with a disk therefore also write partial outputs to a journal, and offer them to the next
+coordinator after a restart. A lost journal costs time, never a result.
 
-A file holds records, each with its length, a checksum and the writer's time of day. The first ones
-of a file have all texts whole, the others what was added. A damaged end is left out.
+A file is a sequence of records, each with its length, a checksum and the writer's wall-clock time.
+The first records of a file have all outputs in full, later ones only additions. Reading stops at
+the first damaged record.
 """
 
 from __future__ import annotations
@@ -28,19 +28,20 @@
 from runkeel.wire.codec import decode, encode
 from runkeel.wire.generated.jobs.ttypes import TextReplication
 
-MAXIMUM_FILE_BYTES = 8 * 1024 * 1024
-"""Size from which a new file is begun; the one before is then removed."""
+MAX_FILE_BYTES = 8 * 1024 * 1024
+"""Size in bytes from which a new file is started."""
 
-LEAST_GROWTH = 3
-"""A file grows at least to so many times what it began with, which is all texts: where these are
-large, a smaller file would be begun anew, with all of them, at each message.
+MIN_GROWTH_FACTOR = 3
+"""A file may always grow to this multiple of its initial size, that of all outputs in full.
+
+Otherwise large outputs would be written again in full, to a new file, at each message.
 """
 
-KEPT_FILES = 2
-"""Files of earlier processes that are read at a start, the newest ones."""
+MAX_FILES = 2
+"""Number of newest files that are kept, and that are read at startup."""
 
-RETRY_SECONDS = 5.0
-"""Pause after the disk has failed."""
+RETRY_DELAY_SECONDS = 5.0
+"""Time after a disk error for which nothing is written."""
 
 _PREFIX = "texts-"
 _SUFFIX = ".log"
@@ -50,120 +51,122 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalRecord:
-    """A message as it was written; ``age_seconds`` goes by the time of day."""
+    """A message from the journal; ``age_seconds`` is computed from wall-clock times."""
 
     message: TextReplication
     age_seconds: float
 
 
 class TextJournal:
-    """The journal in one folder; one process writes it.
+    """The journal in one folder, written by a single process.
 
-    Disk calls run in gevent's thread pool, so that a slow disk does not hold up the node.
+    Writes run in gevent's thread pool, so that a slow disk does not block the event loop.
     """
 
-    def __init__(self, folder: Path, maximum_file_bytes: int = MAXIMUM_FILE_BYTES) -> None:
+    def __init__(self, folder: Path, max_file_bytes: int = MAX_FILE_BYTES) -> None:
         self._folder = folder
-        self._maximum_file_bytes = maximum_file_bytes
-        self._file: int | None = None
-        self._bytes = 0
-        self._first_bytes = 0
-        """Size of what the file in use began with."""
-        self._failed_at = -RETRY_SECONDS
-        self._earlier: list[Path] = []
+        self._max_file_bytes = max_file_bytes
+        self._descriptor: int | None = None
+        self._file_bytes = 0
+        self._initial_bytes = 0
+        """Size of the first write to the current file."""
+        self._failed_at = -RETRY_DELAY_SECONDS
+        self._paths: list[Path] = []
         self._lock = Semaphore()
 
     def load(self) -> list[JournalRecord]:
-        """Return what earlier processes wrote, the oldest first; called once, at the start."""
+        """Return the records of earlier processes, oldest first; called once, at startup."""
         records: list[JournalRecord] = []
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
-            self._earlier = sorted(self._folder.glob(f"{_PREFIX}*{_SUFFIX}"))
-            for path in self._earlier[-KEPT_FILES:]:
+            self._paths = sorted(self._folder.glob(f"{_PREFIX}*{_SUFFIX}"))
+            for path in self._paths[-MAX_FILES:]:
                 records.extend(_read(path))
         except OSError as error:
-            self._failed(error)
-        logger.info("texts read", code="texts_read", records=len(records))
+            self._note_failure(error)
+        logger.info("journal of partial outputs read", code="texts_read", records=len(records))
         return records
 
     def append(self, messages: Callable[[bool], list[TextReplication]]) -> None:
-        """Write messages; returns when they last, or when the disk has failed.
+        """Write messages; returns once they are synced to disk or the write has failed.
 
         Args:
-            messages: called when it is their turn, with whether they begin a file, so that they
-                must have all texts whole. Each becomes a record, so they should be of a bounded
-                size; other tasks have their turn between two of them.
+            messages: called under the journal's lock with whether a new file starts, in which
+                case it must return all outputs in full. Each message becomes a record; their size
+                should be bounded, as the event loop runs other tasks only between two of them.
         """
         with self._lock:
-            if steady_seconds() - self._failed_at < RETRY_SECONDS:
+            if steady_seconds() - self._failed_at < RETRY_DELAY_SECONDS:
                 return
-            begins = self._begins_file()
+            starts_file = self._needs_new_file()
             records = []
-            for message in messages(begins):
+            for message in messages(starts_file):
                 records.append(_encode(message))
                 gevent.sleep(0)
             if not records:
                 return
             data = b"".join(records)
-            error = gevent.get_hub().threadpool.apply(self._write, (data, begins))
+            error = gevent.get_hub().threadpool.apply(self._write, (data, starts_file))
         if error is not None:
-            self._failed(error)
+            self._note_failure(error)
 
-    def _begins_file(self) -> bool:
-        largest = max(self._maximum_file_bytes, LEAST_GROWTH * self._first_bytes)
-        return self._file is None or self._bytes >= largest
+    def _needs_new_file(self) -> bool:
+        largest = max(self._max_file_bytes, MIN_GROWTH_FACTOR * self._initial_bytes)
+        return self._descriptor is None or self._file_bytes >= largest
 
     def close(self) -> None:
-        """Stop to write."""
-        if self._file is not None:
-            os.close(self._file)
-            self._file = None
+        """Close the current file."""
+        if self._descriptor is not None:
+            os.close(self._descriptor)
+            self._descriptor = None
 
-    def _write(self, records: bytes, begins: bool) -> OSError | None:
-        """Write records so that they last; returns the error if that failed."""
+    def _write(self, records: bytes, starts_file: bool) -> OSError | None:
+        """Write and sync records; returns the error if that failed."""
         try:
-            if begins:
-                self._begin_file()
-            _write_all(self._file, records)
-            os.fdatasync(self._file)
-            self._bytes += len(records)
-            if begins:
-                self._first_bytes = len(records)
-                self._remove_earlier()
+            if starts_file:
+                self._open_new_file()
+            _write_all(self._descriptor, records)
+            os.fdatasync(self._descriptor)
+            self._file_bytes += len(records)
+            if starts_file:
+                self._initial_bytes = len(records)
+                self._remove_old_files()
         except OSError as error:
             return error
         return None
 
-    def _begin_file(self) -> None:
-        last = self._earlier[-1].name[len(_PREFIX) : -len(_SUFFIX)] if self._earlier else "0"
+    def _open_new_file(self) -> None:
+        last = self._paths[-1].name[len(_PREFIX) : -len(_SUFFIX)] if self._paths else "0"
         path = self._folder / f"{_PREFIX}{int(last) + 1:08d}{_SUFFIX}"
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         self.close()
-        self._file = descriptor
-        self._bytes = 0
-        self._earlier.append(path)
-
-    def _remove_earlier(self) -> None:
-        """Keep the file in use and one before it: that one is needed if this one is cut short."""
-        while len(self._earlier) > KEPT_FILES:
-            self._earlier.pop(0).unlink(missing_ok=True)
+        self._descriptor = descriptor
+        self._file_bytes = 0
+        self._paths.append(path)
+
+    def _remove_old_files(self) -> None:
+        """Keep the current file and the one before, which is needed if this one is damaged."""
+        while len(self._paths) > MAX_FILES:
+            self._paths.pop(0).unlink(missing_ok=True)
         folder = os.open(self._folder, os.O_RDONLY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
 
-    def _failed(self, error: OSError) -> None:
+    def _note_failure(self, error: OSError) -> None:
         self._failed_at = steady_seconds()
         self.close()
-        logger.warning("texts not kept on disk", code="text_journal_failed", error=str(error))
+        logger.warning(
+            "journal of partial outputs failed", code="text_journal_failed", error=str(error)
+        )
 
 
-def _write_all(file: int, data: bytes) -> None:
-    """Write everything; one call may write a part only."""
+def _write_all(file_descriptor: int, data: bytes) -> None:
+    """Write all data; a single call of :func:`os.write` may write only a part."""
     view = memoryview(data)
     while view:
-        view = view[os.write(file, view) :]
+        view = view[os.write(file_descriptor, view) :]
 
 
 def _encode(message: TextReplication) -> bytes:
@@ -185,7 +188,7 @@
 
 
 def _records(data: bytes) -> Iterator[tuple[int, TextReplication]]:
-    """Yield clock and message of each whole record, up to the first that is damaged."""
+    """Yield time in ms and message of each record, up to the first damaged one."""
     offset = 0
     while offset + _RECORD.size <= len(data):
         length, checksum, clock = _RECORD.unpack_from(data, offset)
--- a/src/runkeel/jobs/text_replication.py
+++ b/src/runkeel/jobs/text_replication.py
@@ -106,12 +106,12 @@
 
     def _write_journal(self, texts: dict[str, PartialText]) -> None:
         if self._journal is not None:
-            self._journal.append(lambda begins_file: self._journal_messages(texts, begins_file))
+            self._journal.append(lambda starts_file: self._journal_messages(texts, starts_file))
 
     def _journal_messages(
-        self, texts: dict[str, PartialText], begins_file: bool
+        self, texts: dict[str, PartialText], starts_file: bool
     ) -> list[TextReplication]:
-        if begins_file:
+        if starts_file:
             self._journaled.clear()
         updates = self._missing_updates(texts, self._journaled)
         _record_sent(updates, self._journaled)
@@ -305,7 +305,7 @@
     def _write_journal(self, message: TextReplication) -> None:
         if self._journal is not None:
             self._journal.append(
-                lambda begins_file: self._full_messages(message) if begins_file else [message]
+                lambda starts_file: self._full_messages(message) if starts_file else [message]
             )
 
     def _full_messages(self, message: TextReplication) -> list[TextReplication]:
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -8,7 +8,7 @@
 
 from runkeel.api.documents import DocumentConflictError, DocumentKind
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.jobs.job_documents import PART_BYTES, encode_segment, segment_name
+from runkeel.jobs.job_documents import MAX_PART_BYTES, encode_segment, segment_name
 from runkeel.jobs.job_store import JobStore, JobSubmission
 from runkeel.state.unchanging import get_unchanging
 from runkeel_lab.standins.document_store import MemoryDocumentStore, StoreFault
@@ -40,10 +40,10 @@
         """Sweep at 303 servers: jobs of 1,040 items were refused, each time they came."""
         job = make_large_job()
         JobSubmission.of_job(self.store, job).write()
-        self.assertGreaterEqual(len(self._parts()), 200 * len(LARGE_BODY) // PART_BYTES)
+        self.assertGreaterEqual(len(self._parts()), 200 * len(LARGE_BODY) // MAX_PART_BYTES)
         for name in self._parts():
             size = len(json.dumps(self.store.get(DocumentKind.JOB_PART, name).content))
-            self.assertLessEqual(size, PART_BYTES)
+            self.assertLessEqual(size, MAX_PART_BYTES)
         self.assertEqual(self.jobs.get(JOB_ID), job)
 
     def test_job_is_not_there_until_its_document_is(self):
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_text_journal.py
@@ -1,4 +1,4 @@
-"""Texts on a machine's disk: what a restarted process finds of them."""
+"""The journal of partial outputs, as read by a restarted process."""
 
 import tempfile
 import time
@@ -21,9 +21,9 @@
         self.texts = {}
         self.network = MemoryNetwork()
 
-    def _process(self, epoch=1, maximum=1_000_000):
-        """Start a coordinator's process; returns its sender and what it found on the disk."""
-        journal = TextJournal(self.folder, maximum)
+    def _process(self, epoch=1, max_file_bytes=1_000_000):
+        """Start a coordinator's process; returns its sender and the outputs restored from disk."""
+        journal = TextJournal(self.folder, max_file_bytes)
         self.addCleanup(journal.close)
         found = TextCopies(self.network.node("a"), journal).take()
         sender = TextSender(
@@ -46,7 +46,7 @@
             self._grow(self.texts["i"])
             sender.send_once()
 
-    def test_restarted_process_finds_its_texts(self):
+    def test_restarted_process_restores_its_outputs(self):
         sender, found = self._process()
         self.assertEqual(found, {})
         self.texts["i"] = self._text(2)
@@ -56,7 +56,7 @@
         self.assertEqual(copy.pieces, ["p0", "p1", "p2", "p3", "p4"])
         self.assertEqual((copy.last_event_id, copy.versions), ("5", [1]))
 
-    def test_damaged_end_is_left_out(self):
+    def test_damaged_end_is_ignored(self):
         sender, _ = self._process()
         self.texts["i"] = self._text(1)
         self._write_steps(sender, 3)
@@ -69,8 +69,8 @@
         path.write_bytes(b"\xff" * 40)
         self.assertEqual(self._process(epoch=2)[1], {})
 
-    def test_new_file_begins_with_all_texts_and_older_ones_go(self):
-        sender, _ = self._process(maximum=200)
+    def test_new_file_starts_with_all_outputs_and_old_files_are_removed(self):
+        sender, _ = self._process(max_file_bytes=200)
         self.texts["other"] = self._text(4)
         self.texts["i"] = self._text(1)
         self._write_steps(sender, 30)
@@ -80,12 +80,12 @@
         self.assertEqual(found["other"].last_event_id, "4")
         self.assertEqual(found["i"].last_event_id, "31")
 
-    def test_texts_larger_than_a_file_are_not_all_written_at_each_message(self):
-        """Trial with 241 engines: a successor held several copies of all texts, and was killed.
+    def test_outputs_larger_than_a_file_are_not_rewritten_at_each_message(self):
+        """Guards against a new file at each message when the first record exceeds the file limit.
 
-        Each message began a new file, as the first record alone was larger than a file may be.
+        The repeated full copies took too much memory.
         """
-        sender, _ = self._process(maximum=200)
+        sender, _ = self._process(max_file_bytes=200)
         self.texts = {f"t{n}": self._text(40) for n in range(40)} | {"i": self._text(1)}
         sizes = []
         with mock.patch.object(text_journal, "_encode", wraps=text_journal._encode) as encode:
@@ -93,15 +93,15 @@
             sizes = [len(call.args[0].updates) for call in encode.call_args_list]
         self.assertEqual(sizes, [41] + [1] * 9)
 
-    def test_texts_larger_than_a_message_are_written_in_several_records(self):
-        """Trial with 241 engines: 19 MB of texts were no message, and the writer's task died."""
+    def test_outputs_larger_than_a_message_are_written_in_several_records(self):
+        """Guards against a record too large to encode, which ends the writer's task."""
         sender, _ = self._process()
         piece = "x" * (text_replication.MAX_MESSAGE_BYTES // 2)
         self.texts = {f"t{n}": PartialText([piece], "1", [1]) for n in range(40)}
         sender.send_once()
         self.assertEqual(sorted(self._process(epoch=2)[1]), sorted(self.texts))
 
-    def test_second_restart_still_finds_what_the_first_had_not_written(self):
+    def test_second_restart_restores_outputs_from_before_the_first(self):
         sender, _ = self._process()
         self.texts["i"] = self._text(3)
         sender.send_once()
@@ -110,7 +110,7 @@
         sender.send_once()
         self.assertEqual(sorted(self._process(epoch=3)[1]), ["i", "j"])
 
-    def test_texts_of_an_earlier_term_are_not_joined_with_those_of_a_later_one(self):
+    def test_outputs_of_an_earlier_term_are_dropped(self):
         sender, _ = self._process(epoch=1)
         self.texts["i"] = self._text(3, versions=(1,))
         sender.send_once()
@@ -119,24 +119,24 @@
         sender.send_once()
         self.assertEqual(sorted(self._process(epoch=3)[1]), ["j"])
 
-    def test_disk_that_fails_is_tried_again_later_with_all_texts(self):
+    def test_failed_disk_is_retried_later_with_all_outputs(self):
         sender, _ = self._process()
         self.texts["i"] = self._text(2)
         with mock.patch.object(text_journal.os, "fdatasync", side_effect=OSError("disk")):
             self._write_steps(sender, 2)
         self._write_steps(sender, 1)
-        sender._journal._failed_at = -text_journal.RETRY_SECONDS
+        sender._journal._failed_at = -text_journal.RETRY_DELAY_SECONDS
         self._write_steps(sender, 1)
         self.assertEqual(self._process(epoch=2)[1]["i"].last_event_id, "6")
 
-    def test_folder_that_can_not_be_made(self):
+    def test_uncreatable_folder_raises_no_error(self):
         self.folder.parent.joinpath("texts").write_text("a file")
         sender, found = self._process()
         self.texts["i"] = self._text(2)
         sender.send_once()
         self.assertEqual(found, {})
 
-    def test_successor_writes_what_it_receives(self):
+    def test_successor_journals_received_updates(self):
         journal = TextJournal(self.folder)
         self.addCleanup(journal.close)
         copies = TextCopies(self.network.node("b"), journal)
@@ -147,7 +147,7 @@
         self.assertEqual(restarted.epoch, 4)
         self.assertEqual(restarted.take()["i"].pieces, copies.take()["i"].pieces)
 
-    def test_texts_that_were_not_written_for_long_are_left_out(self):
+    def test_outputs_past_the_retention_period_are_not_restored(self):
         now = time.time()
         sender, _ = self._process()
         for name, age in (("old", RETENTION_SECONDS + 1.0), ("i", 1.0)):
@@ -156,7 +156,7 @@
                 sender.send_once()
         self.assertEqual(list(self._process(epoch=2)[1]), ["i"])
 
-    def test_clock_that_was_set_back_does_no_harm(self):
+    def test_outputs_are_restored_after_the_clock_was_set_back(self):
         sender, _ = self._process()
         self.texts["i"] = self._text(2)
         with mock.patch.object(text_journal.time, "time", return_value=time.time() + 3600.0):
