--- a/src/runkeel/jobs/job_copies.py
+++ b/src/runkeel/jobs/job_copies.py
@@ -1,7 +1,7 @@
-"""Copies of the open jobs at the coordinator's likeliest successors.
+"""Copies open jobs to the coordinator's likely successors.
 
-The store holds every accepted job. A successor needs a copy of its own only while the store is
-away: it runs the items on, until the store can say who coordinates, and lists them then.
+Every accepted job is in the store, so copies matter only during a store outage: a successor runs
+the items from its copies, and lists their results once the store is available again.
 """
 
 from __future__ import annotations
@@ -21,30 +21,26 @@
 from runkeel.wire.generated.jobs.ttypes import JobCopies, JobCopiesReply, JobCopy
 from runkeel.wire.network import PeerNetwork
 
-INTERVAL_SECONDS = 0.5
-"""Successors are told so often what they lack; an outage of the store lasts for seconds."""
+SEND_INTERVAL_SECONDS = 0.5
+"""Interval between updates to successors; short, as store outages last for seconds."""
 
-CALL_SECONDS = 1.0
-"""Longest wait for a successor's receipt."""
+CALL_TIMEOUT_SECONDS = 1.0
+"""Longest wait for a successor's reply."""
 
-COMPARED_ROUNDS = 4
-"""In one of so many rounds a successor is asked whether it still has what it was told.
+ROUNDS_PER_COMPARISON = 4
+"""Every so many rounds, a successor checks which jobs it should have, as it may have restarted."""
 
-One that was started anew has nothing; it lacks open jobs for two seconds then. The names of 20 open
-jobs are 400 bytes.
-"""
-
-MAXIMUM_BYTES = 32 * 1024 * 1024
-"""Texts of jobs that a successor keeps; the oldest go first. A tenth of its memory."""
+MAX_COPY_BYTES = 32 * 1024 * 1024
+"""Bound on the encoded jobs that a successor keeps; the oldest are evicted first."""
 
 
 @dataclass(frozen=True, slots=True)
 class CopiedJob:
-    """An open job as a successor knows it.
+    """A successor's copy of an open job.
 
     Attributes:
-        parts: names of the documents that hold its items in the store.
-        listed: items that need not be run again.
+        parts: names of the job's part documents in the store.
+        listed: ids of items with a listed result, which need not be run again.
     """
 
     job: BatchJob
@@ -53,11 +49,11 @@
 
 
 class JobCopySender:
-    """One task of a term that tells the likeliest successors of its open jobs.
+    """Sends the open jobs of a term to likely successors.
 
     Args:
-        jobs: the jobs of this term.
-        successors: nodes that get copies.
+        jobs: returns the jobs of this term.
+        successors: returns the nodes that receive copies.
     """
 
     def __init__(
@@ -74,64 +70,71 @@
         self._jobs = jobs
         self._successors = successors
         self._rounds = 0
-        self._told: dict[str, dict[str, int]] = {}
-        """By successor and job: how many results it has been told of."""
+        self._sent_counts: dict[str, dict[str, int]] = {}
+        """Number of listed results sent, by successor and job."""
         self._task = BackgroundTask(self._run)
 
     def start(self) -> None:
-        """Start to tell."""
+        """Start sending periodically."""
         self._task.start()
 
     def stop(self) -> None:
-        """Tell no more."""
+        """Stop sending."""
         self._task.stop()
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(INTERVAL_SECONDS)
+            gevent.sleep(SEND_INTERVAL_SECONDS)
             self.send_once()
 
     def send_once(self) -> None:
-        """Tell each successor what it lacks."""
+        """Send each successor the updates that it lacks."""
         self._rounds += 1
         successors = self._successors()
-        self._told = {one: told for one, told in self._told.items() if one in successors}
+        self._sent_counts = {
+            one: sent for one, sent in self._sent_counts.items() if one in successors
+        }
         gevent.joinall([gevent.spawn(self._send_to, one) for one in successors])
 
     def _send_to(self, successor: str) -> None:
-        told = self._told.setdefault(successor, {})
+        sent = self._sent_counts.setdefault(successor, {})
         states = {state.job.job_id: state for state in self._jobs()}
-        copies = [copy for state in states.values() if (copy := _lacking(state, told)) is not None]
-        compares = self._rounds % COMPARED_ROUNDS == 0
-        before = list(told) if compares else []
-        if not copies and not before:
+        copies = [
+            copy for state in states.values() if (copy := _missing_update(state, sent)) is not None
+        ]
+        compare = self._rounds % ROUNDS_PER_COMPARISON == 0
+        known_jobs = list(sent) if compare else []
+        if not copies and not known_jobs:
             return
-        message = JobCopies(self._shard, self._epoch, copies, before)
+        message = JobCopies(self._shard, self._epoch, copies, known_jobs)
         try:
             reply = self._network.call(
-                successor, MessageType.JOB_COPIES, message, JobCopiesReply, CALL_SECONDS
+                successor, MessageType.JOB_COPIES, message, JobCopiesReply, CALL_TIMEOUT_SECONDS
             )
         except RunkeelError as error:
             logger.info(
-                "jobs not copied", code="jobs_uncopied", to=successor, error=str(error.code)
+                "sending job copies failed",
+                code="jobs_uncopied",
+                to=successor,
+                error=str(error.code),
             )
             for copy in copies:
-                # Whether they arrived is unknown: they are sent whole again.
-                told.pop(copy.job_id, None)
+                # The successor may or may not have them: send them in full again.
+                sent.pop(copy.job_id, None)
             return
         for copy in copies:
             if copy.ended:
-                told.pop(copy.job_id, None)
+                sent.pop(copy.job_id, None)
             else:
-                told[copy.job_id] = told.get(copy.job_id, 0) + len(copy.listed)
+                sent[copy.job_id] = sent.get(copy.job_id, 0) + len(copy.listed)
         for job_id in reply.missing:
-            told.pop(job_id, None)
+            sent.pop(job_id, None)
 
 
-def _lacking(state: JobState, told: dict[str, int]) -> JobCopy | None:
-    """Return what a successor lacks of a job; None when it has it all."""
+def _missing_update(state: JobState, sent: dict[str, int]) -> JobCopy | None:
+    """Return what a successor lacks of a job; None if it is up to date."""
     job = state.job
-    known = told.get(job.job_id)
+    known = sent.get(job.job_id)
     if state.ended or state.unloaded:
         return JobCopy(job.job_id, "", [], True) if known is not None else None
     listed = [result.item_id for result in state.results[known or 0 :]]
@@ -141,32 +144,32 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _CopyEntry:
     text: str
     listed: set[str] = field(default_factory=set)
 
 
 class JobCopyKeeper:
-    """A successor's copies; always ready to receive."""
+    """A node's copies of open jobs; receives updates at any time."""
 
     def __init__(self, network: PeerNetwork) -> None:
         self._epoch = 0
-        self._kept: dict[str, _Kept] = {}
+        self._copies: dict[str, _CopyEntry] = {}
         network.on_call(MessageType.JOB_COPIES, JobCopies, self._receive)
 
     def jobs(self) -> list[CopiedJob]:
-        """Return the open jobs, the oldest first."""
+        """Return the copied jobs in the order in which they first arrived."""
         jobs = []
-        for job_id, kept in self._kept.items():
+        for job_id, entry in self._copies.items():
             try:
-                encoded = job_from_text(kept.text)
+                encoded = job_from_text(entry.text)
                 job = decode_encoded_job(job_id, encoded)
             except (KeyError, TypeError, ValueError) as error:
                 logger.warning(
-                    "copy not understood", code="bad_copy", job=job_id, error=repr(error)
+                    "cannot decode job copy", code="bad_copy", job=job_id, error=repr(error)
                 )
                 continue
-            jobs.append(CopiedJob(job, tuple(encoded.parts), frozenset(kept.listed)))
+            jobs.append(CopiedJob(job, tuple(encoded.parts), frozenset(entry.listed)))
         return jobs
 
     def _receive(self, peer: str, message: JobCopies) -> tuple[int, JobCopiesReply]:
@@ -174,28 +177,28 @@
             return MessageType.JOB_COPIES_REPLY, JobCopiesReply([])
         if message.epoch > self._epoch:
             self._epoch = message.epoch
-            self._kept.clear()
-        missing = [copy.job_id for copy in message.jobs if not self._take(copy)]
+            self._copies.clear()
+        missing = [copy.job_id for copy in message.jobs if not self._apply(copy)]
         ended = {copy.job_id for copy in message.jobs if copy.ended}
-        lost = {job_id for job_id in message.told or () if job_id not in self._kept} - ended
+        lost = {job_id for job_id in message.told or () if job_id not in self._copies} - ended
         missing += sorted(lost.difference(missing))
-        self._forget_oldest()
+        self._evict_oldest()
         return MessageType.JOB_COPIES_REPLY, JobCopiesReply(missing)
 
-    def _take(self, copy: JobCopy) -> bool:
-        """Take a copy; False when its beginning is missing."""
+    def _apply(self, copy: JobCopy) -> bool:
+        """Apply an update; returns False if it needs a copy that is missing."""
         if copy.ended:
-            self._kept.pop(copy.job_id, None)
+            self._copies.pop(copy.job_id, None)
             return True
         if copy.content:
-            self._kept[copy.job_id] = _Kept(copy.content)
-        kept = self._kept.get(copy.job_id)
-        if kept is None:
+            self._copies[copy.job_id] = _CopyEntry(copy.content)
+        entry = self._copies.get(copy.job_id)
+        if entry is None:
             return False
-        kept.listed.update(copy.listed)
+        entry.listed.update(copy.listed)
         return True
 
-    def _forget_oldest(self) -> None:
-        size = sum(len(kept.text) for kept in self._kept.values())
-        while size > MAXIMUM_BYTES and len(self._kept) > 1:
-            size -= len(self._kept.pop(next(iter(self._kept))).text)
+    def _evict_oldest(self) -> None:
+        size = sum(len(entry.text) for entry in self._copies.values())
+        while size > MAX_COPY_BYTES and len(self._copies) > 1:
+            size -= len(self._copies.pop(next(iter(self._copies))).text)
--- a/src/runkeel/jobs/result_writer.py
+++ b/src/runkeel/jobs/result_writer.py
@@ -1,4 +1,4 @@
-"""Lists results: writes them to the store in segments, then shows them."""
+"""Lists a job's results: writes them to the store in segments, then makes them readable."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from runkeel.jobs.job_documents import decode_segment, encode_segment, segment_name
 from runkeel.jobs.job_state import JobState
 
-GATHER_SECONDS = 0.7
-"""Results are gathered for so long: each call to the store has its price."""
+BATCH_DELAY_SECONDS = 0.7
+"""Time for which results are batched before a write, to save calls to the store."""
 
-EARLY_GATHER_SECONDS = 1.5
-"""The same while the trainer has far to go: it trains only once it has the groups it waits for."""
+EARLY_BATCH_DELAY_SECONDS = 1.5
+"""Batch delay while few of the groups that the trainer waits for are complete."""
 
-EARLY_SHARE = 0.5
-"""A trainer has far to go with less than this part of the groups that it waits for."""
+EARLY_PROGRESS_SHARE = 0.5
+"""Share of the awaited groups below which :data:`EARLY_BATCH_DELAY_SECONDS` applies."""
 
 EARLY_AGE_SECONDS = 4.0
-"""So long after the submission its deadline may be near. Chosen: half of a common deadline."""
+"""Age of a job from which :data:`BATCH_DELAY_SECONDS` applies, as its deadline may be near."""
 
-RETRY_SECONDS = 0.15
-"""Pause before results are written again after a failure of the store. Chosen, not measured."""
+RETRY_DELAY_SECONDS = 0.15
+"""Pause before a failed write is retried."""
 
-MAXIMUM_SEGMENT_BYTES = 800_000
-"""Bound on the text of a segment; the store takes a megabyte."""
+MAX_SEGMENT_BYTES = 800_000
+"""Bound on the text in a segment, in bytes; below the store's limit of 1 MB on documents."""
 
 
 class SupersededError(Exception):
@@ -38,10 +38,10 @@
 
 
 class ResultWriter:
-    """Writes one job's results until all are listed; one task a job.
+    """Writes one job's results until all are listed.
 
     Args:
-        epoch: the term in which this node coordinates.
+        epoch: epoch of the term in which this node coordinates.
     """
 
     def __init__(
@@ -55,18 +55,18 @@
         self._state = state
         self._epoch = epoch
         self._on_listed = on_listed
-        self._last_written_own = False
+        self._last_segment_own = False
 
     def fence(self) -> None:
-        """Read every segment there is and make an empty one after the last.
+        """Read all existing segments and create an empty one after the last.
 
-        A coordinator of an earlier epoch lists nothing after this. Raises SupersededError.
+        This stops coordinators of earlier epochs from listing more. Raises SupersededError.
         """
         before = -1
         while self._state.segments != before and not self._state.complete:
             before = self._state.segments
             self._write_segment([], allow_empty=True)
-            if self._last_written_own:
+            if self._last_segment_own:
                 return
 
     def run(self) -> None:
@@ -77,20 +77,20 @@
             if state.unloaded:
                 return
             if len(state.results) + len(state.unlisted) < len(state.items):
-                # Nothing is gained by gathering once the trainer has all it waits for.
-                state.awaited.wait(self._gather_seconds())
-            self._write_segment(_within_size(state.unlisted))
+                # No batching once all groups that the trainer waits for are complete.
+                state.awaited.wait(self._batch_delay_seconds())
+            self._write_segment(_limit_size(state.unlisted))
             self._on_listed(state)
 
-    def _gather_seconds(self) -> float:
+    def _batch_delay_seconds(self) -> float:
         state = self._state
         old = time.time() - state.job.submitted_at > EARLY_AGE_SECONDS
-        early = state.awaited_share < EARLY_SHARE and not old
-        return EARLY_GATHER_SECONDS if early else GATHER_SECONDS
+        early = state.awaited_share < EARLY_PROGRESS_SHARE and not old
+        return EARLY_BATCH_DELAY_SECONDS if early else BATCH_DELAY_SECONDS
 
     def _write_segment(self, batch: list[ItemResult], allow_empty: bool = False) -> None:
-        """Write a batch as the next segment, or take the segment that another node wrote."""
-        self._last_written_own = False
+        """Write a batch as the next segment, or read the segment that another node wrote there."""
+        self._last_segment_own = False
         state = self._state
         name = segment_name(state.job.job_id, state.segments)
         content = encode_segment(self._epoch, batch)
@@ -98,31 +98,31 @@
             try:
                 self._store.create(DocumentKind.JOB_RESULTS, name, content)
             except DocumentConflictError as conflict:
-                if self._take_existing(name, conflict):
+                if self._adopt_existing(name, conflict):
                     return
             except RunkeelError as error:
                 logger.info(
-                    "results not stored yet",
+                    "writing results failed; retrying",
                     code="results_delayed",
                     job=state.job.job_id,
                     segment=state.segments,
                     error=str(error.code),
                 )
             else:
-                self._last_written_own = True
+                self._last_segment_own = True
                 state.take_segment(batch)
                 self._log_listed(batch, own=True)
                 return
-            gevent.sleep(RETRY_SECONDS)
+            gevent.sleep(RETRY_DELAY_SECONDS)
 
-    def _take_existing(self, name: str, conflict: DocumentConflictError) -> bool:
+    def _adopt_existing(self, name: str, conflict: DocumentConflictError) -> bool:
         document = conflict.current
         try:
             if document is None or document.content is None:
                 document = self._store.get(DocumentKind.JOB_RESULTS, name)
         except RunkeelError as error:
             logger.info(
-                "results of another term not read yet",
+                "reading a segment of another term failed; retrying",
                 code="results_delayed",
                 job=self._state.job.job_id,
                 segment=self._state.segments,
@@ -132,11 +132,11 @@
         if document is None:
             return False
         epoch, results = decode_segment(document.content)
-        self._last_written_own = epoch == self._epoch
+        self._last_segment_own = epoch == self._epoch
         self._state.take_segment(results)
-        self._log_listed(results, own=self._last_written_own)
+        self._log_listed(results, own=self._last_segment_own)
         if epoch > self._epoch:
-            raise SupersededError(f"{name} was written in epoch {epoch}")
+            raise SupersededError(f"results segment {name} was written in later epoch {epoch}")
         return True
 
     def _log_listed(self, results: list[ItemResult], own: bool) -> None:
@@ -153,12 +153,12 @@
         )
 
 
-def _within_size(results: list[ItemResult]) -> list[ItemResult]:
+def _limit_size(results: list[ItemResult]) -> list[ItemResult]:
     batch: list[ItemResult] = []
     size = 0
     for result in results:
         size += len(result.text)
-        if batch and size > MAXIMUM_SEGMENT_BYTES:
+        if batch and size > MAX_SEGMENT_BYTES:
             break
         batch.append(result)
     return batch
--- a/tests/jobs/test_job_copies.py
+++ b/tests/jobs/test_job_copies.py
@@ -1,4 +1,4 @@
-"""Open jobs at the coordinator's likeliest successors."""
+"""Copies of open jobs at the coordinator's likely successors."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 ROUNDS = 20
-"""Ten seconds at one round each half second; outages of the store are shorter."""
+"""Ten seconds of rounds, longer than an outage of the store."""
 
 
 def make_state(job_id, items=3):
@@ -35,7 +35,7 @@
     def kept(self):
         return {copy.job.job_id: copy for copy in self.keeper.jobs()}
 
-    def test_successor_knows_open_jobs_and_what_is_listed(self):
+    def test_successor_has_open_jobs_and_their_listed_items(self):
         sender = self.sender()
         sender.send_once()
         listed(self.states[0], 1)
@@ -47,14 +47,14 @@
         self.assertEqual(kept["j"].listed, {"j-1"})
         self.assertEqual(kept["k"].listed, frozenset())
 
-    def test_ended_job_is_forgotten(self):
+    def test_ended_job_is_removed(self):
         sender = self.sender()
         sender.send_once()
         self.states[0].end()
         sender.send_once()
         self.assertEqual(set(self.kept()), {"k"})
 
-    def test_what_did_not_arrive_is_sent_again(self):
+    def test_lost_update_is_sent_again(self):
         sender = self.sender()
         self.network.silent.add("next")
         sender.send_once()
@@ -63,7 +63,7 @@
         sender.send_once()
         self.assertEqual(self.kept()["j"].listed, {"j-0"})
 
-    def test_successor_that_has_restarted_gets_everything_again(self):
+    def test_restarted_successor_gets_updated_jobs_again(self):
         sender = self.sender()
         sender.send_once()
         self.keeper = JobCopyKeeper(self.network.node("next"))
@@ -72,8 +72,8 @@
         sender.send_once()
         self.assertEqual(self.kept()["j"].listed, {"j-0"})
 
-    def test_successor_that_has_restarted_gets_jobs_without_news_again(self):
-        """The sender goes by its own book of what was told: the receiver may have lost it."""
+    def test_restarted_successor_gets_unchanged_jobs_again(self):
+        """Guards against relying only on the sender's record of what the receiver has."""
         sender = self.sender()
         sender.send_once()
         self.keeper = JobCopyKeeper(self.network.node("next"))
@@ -81,7 +81,7 @@
             sender.send_once()
         self.assertEqual(set(self.kept()), {"j", "k"})
 
-    def test_copies_of_an_earlier_term_are_not_taken(self):
+    def test_copies_of_an_earlier_epoch_are_ignored(self):
         self.sender(epoch=2).send_once()
         self.states = [make_state("old")]
         self.sender(epoch=1).send_once()
--- a/tests/jobs/test_result_writer.py
+++ b/tests/jobs/test_result_writer.py
@@ -1,11 +1,11 @@
-"""How long results are gathered before a segment of them is written."""
+"""How long results are batched before they are written as a segment."""
 
 import time
 import unittest
 
 from runkeel.api.jobs import BatchJob, ItemResult, JobItem, ResultState
 from runkeel.jobs.job_state import JobState
-from runkeel.jobs.result_writer import EARLY_GATHER_SECONDS, GATHER_SECONDS, ResultWriter
+from runkeel.jobs.result_writer import BATCH_DELAY_SECONDS, EARLY_BATCH_DELAY_SECONDS, ResultWriter
 from runkeel_lab.standins.document_store import MemoryDocumentStore
 
 
@@ -15,27 +15,29 @@
     return JobState(BatchJob("j", "h", "/p", submitted_at, items, wanted_groups=wanted_groups))
 
 
-class GatherTest(unittest.TestCase):
-    def gather_seconds(self, state):
-        return ResultWriter(MemoryDocumentStore(), state, 1, lambda state: None)._gather_seconds()
+class BatchDelayTest(unittest.TestCase):
+    def batch_delay_seconds(self, state):
+        return ResultWriter(
+            MemoryDocumentStore(), state, 1, lambda state: None
+        )._batch_delay_seconds()
 
     def finish(self, state, count):
         for number in range(count):
             state.add_unlisted(ItemResult(f"i{number}", ResultState.COMPLETED, "text"))
 
-    def test_trainer_that_has_far_to_go_is_told_less_often(self):
+    def test_delay_is_longer_while_few_awaited_groups_are_complete(self):
         state = make_state()
-        self.assertEqual(self.gather_seconds(state), EARLY_GATHER_SECONDS)
+        self.assertEqual(self.batch_delay_seconds(state), EARLY_BATCH_DELAY_SECONDS)
         self.finish(state, 3)
-        self.assertEqual(self.gather_seconds(state), EARLY_GATHER_SECONDS)
+        self.assertEqual(self.batch_delay_seconds(state), EARLY_BATCH_DELAY_SECONDS)
         self.finish(state, 4)
-        self.assertEqual(self.gather_seconds(state), GATHER_SECONDS)
+        self.assertEqual(self.batch_delay_seconds(state), BATCH_DELAY_SECONDS)
 
-    def test_old_job_may_be_near_its_deadline(self):
-        self.assertEqual(self.gather_seconds(make_state(age_seconds=5.0)), GATHER_SECONDS)
+    def test_delay_is_shorter_for_an_old_job(self):
+        self.assertEqual(self.batch_delay_seconds(make_state(age_seconds=5.0)), BATCH_DELAY_SECONDS)
 
-    def test_caller_that_waits_for_no_groups(self):
-        self.assertEqual(self.gather_seconds(make_state(wanted_groups=0)), GATHER_SECONDS)
+    def test_delay_without_awaited_groups(self):
+        self.assertEqual(self.batch_delay_seconds(make_state(wanted_groups=0)), BATCH_DELAY_SECONDS)
 
 
 if __name__ == "__main__":
