--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -224,7 +224,7 @@
     def page(self, state: JobState, position: int, wait: float, max_bytes: int) -> ResultPage:
         """Return results from a position on, waiting up to ``wait`` seconds for the first."""
         if wait > 0:
-            state.wait_beyond(position, wait)
+            state.wait_for_position(position, wait)
         return state.page(position, max_bytes)
 
     def _spawn(self, function: Callable[..., None], *arguments: object) -> None:
--- a/src/runkeel/jobs/job_store.py
+++ b/src/runkeel/jobs/job_store.py
@@ -1,7 +1,7 @@
-"""Batch jobs in the store: a document each, and parts for the items of a large one.
+"""Stores batch jobs: one document each, and part documents for the items of a large job.
 
-The parts are made first: a job is there once its document is. Each submission makes parts of its
-own, named by the document that counts, so that one that was refused can remove what it made.
+Parts are written first; a job exists once its document does. Each submission writes parts under
+names of its own, which its document lists, so that a refused submission can remove its parts.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 )
 from runkeel.state.unchanging import get_unchanging
 
-PART_TRIES = 3
-"""So often a part is written whose answer is lost; one of a few in a hundred is, on a bad day."""
+MAX_PART_ATTEMPTS = 3
+"""Bound on the attempts to write a part when replies are lost."""
 
-PART_SECONDS = 3.0
-"""A part is waited for so long; several share the node's link."""
+PART_TIMEOUT_SECONDS = 3.0
+"""Longest wait for the read or write of a part; several share the node's link."""
 
-CONCURRENT_PARTS = 4
-"""So many parts are read or written at once."""
+MAX_CONCURRENT_PARTS = 4
+"""Bound on the parts of a job that are read concurrently."""
 
-_PREFIX_BYTES = 4
+_PREFIX_RANDOM_BYTES = 4
 
 
 class JobSubmission:
@@ -49,84 +49,90 @@
         self._store = store
         self._job_id = job_id
         self.encoded = encoded
-        self._missing = dict(encoded.parts)
+        self._unwritten_parts = dict(encoded.parts)
 
     @classmethod
     def of_job(cls, store: DocumentStore, job: BatchJob) -> JobSubmission:
-        """Return the submission of a job, with names of its own for the job's parts."""
-        prefix = f"{job.job_id}-{secrets.token_hex(_PREFIX_BYTES)}"
+        """Return a submission of a job, with unique names for the job's parts."""
+        prefix = f"{job.job_id}-{secrets.token_hex(_PREFIX_RANDOM_BYTES)}"
         return cls(store, job.job_id, encode_job(job, prefix))
 
     def write(self, timeout_seconds: float = CALL_TIMEOUT_SECONDS) -> None:
-        """Store what is still missing, the job's document last.
+        """Write all parts not yet written, then the job's document.
 
         Args:
-            timeout_seconds: longest wait for the answer to the document.
+            timeout_seconds: longest wait for the reply to the write of the document.
 
         Raises:
-            DocumentConflictError: the job is there already.
+            DocumentConflictError: the job exists already.
             RunkeelError: with verdict NOT_RUN only if this call did not store the job.
         """
         self._write_parts()
         self._store.create(DocumentKind.JOB, self._job_id, self.encoded.content, timeout_seconds)
 
     def discard_parts(self) -> None:
-        """Remove the parts that were made for nothing, in a task of its own."""
+        """Remove this submission's parts in the background."""
         if self.encoded.parts:
             gevent.spawn(self._remove_parts)
 
     def owns(self, document: Document | None) -> bool:
-        """Return whether a job's document may be the one that this submission made."""
+        """Return whether a job's document may have been written by this submission."""
         if document is None or document.content is None:
             return True
         return parts_of_job(document.content) == tuple(self.encoded.parts)
 
     def _write_parts(self) -> None:
         writes = {
-            name: gevent.spawn(self._write_part, name, part) for name, part in self._missing.items()
+            name: gevent.spawn(self._write_part, name, part)
+            for name, part in self._unwritten_parts.items()
         }
         gevent.joinall(list(writes.values()))
         errors = [write.value for write in writes.values() if write.value is not None]
         if errors:
-            # Whatever became of its parts, without its document the job is not there.
+            # Some parts may have been written, but without its document the job does not exist.
             raise not_run(errors[0].code, errors[0].detail)
 
     def _write_part(self, name: str, part: list[dict]) -> RunkeelError | None:
-        problem: RunkeelError | None = None
-        for _ in range(PART_TRIES):
+        failure: RunkeelError | None = None
+        for _ in range(MAX_PART_ATTEMPTS):
             try:
-                self._store.create(DocumentKind.JOB_PART, name, part, PART_SECONDS)
+                self._store.create(DocumentKind.JOB_PART, name, part, PART_TIMEOUT_SECONDS)
             except DocumentConflictError:
-                # An earlier write whose answer was lost.
-                problem = None
+                # An earlier attempt wrote the part, and its reply was lost.
+                failure = None
             except RunkeelError as error:
-                problem = error
-            if problem is None:
-                del self._missing[name]
+                failure = error
+            if failure is None:
+                del self._unwritten_parts[name]
                 return None
-            if problem.verdict is Verdict.NOT_RUN:
-                return problem
-        return problem
+            if failure.verdict is Verdict.NOT_RUN:
+                return failure
+        return failure
 
     def _remove_parts(self) -> None:
         try:
             for name in self.encoded.parts:
                 self._store.delete(DocumentKind.JOB_PART, name)
         except RunkeelError as error:
-            logger.info("parts left", code="job_parts_left", job=self._job_id, error=error.detail)
+            logger.info(
+                "removing the parts of a refused job failed",
+                code="job_parts_left",
+                job=self._job_id,
+                error=error.detail,
+            )
 
 
 class JobStore:
-    """Reads and removes whole jobs. Every method raises RunkeelError when no answer came."""
+    """Reads and removes jobs. Every method raises RunkeelError if the store does not answer."""
 
     def __init__(self, store: DocumentStore) -> None:
         self._store = store
 
     def read(self, document: Document) -> BatchJob | None:
-        """Return the job of a document; None when it is being removed."""
+        """Return the job of a document; None if a part is missing, as the job is being removed."""
         names = parts_of_job(document.content)
         contents = []
-        for part in Pool(CONCURRENT_PARTS).imap(self._read_part, names):
+        for part in Pool(MAX_CONCURRENT_PARTS).imap(self._read_part, names):
             if isinstance(part, RunkeelError):
                 raise part
             if part is None:
@@ -135,19 +141,19 @@
         return decode_job(document.name, document.content, contents)
 
     def _read_part(self, name: str) -> Document | RunkeelError | None:
-        """Return a part; an error is returned rather than raised, as its reader waits elsewhere."""
+        """Return a part, or the error of the read, which the caller raises."""
         try:
-            return get_unchanging(self._store, DocumentKind.JOB_PART, name, PART_SECONDS)
+            return get_unchanging(self._store, DocumentKind.JOB_PART, name, PART_TIMEOUT_SECONDS)
         except RunkeelError as error:
             return error
 
     def get(self, job_id: str) -> BatchJob | None:
-        """Return a job; None when it is certain that there is none."""
+        """Return a job; None if it is certain that it does not exist."""
         document = get_unchanging(self._store, DocumentKind.JOB, job_id)
         return None if document is None else self.read(document)
 
     def remove(self, job_id: str, parts: tuple[str, ...], segments: int) -> None:
-        """Remove a job, its parts, its results and its end."""
+        """Remove all documents of a job: its own, its parts, its results and its end."""
         self._store.delete(DocumentKind.JOB, job_id)
         for name in parts:
             self._store.delete(DocumentKind.JOB_PART, name)
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -20,7 +20,7 @@
 from runkeel.handoff.hint_client import HintClient, HintOutcome, JobTrace
 from runkeel.jobs.coordinator import JobCoordinator
 from runkeel.jobs.job_documents import decode_segment, may_be_of_tenant, segment_name
-from runkeel.jobs.job_state import JobState, page_of
+from runkeel.jobs.job_state import JobState, make_page
 from runkeel.jobs.job_store import JobStore, JobSubmission
 from runkeel.jobs.result_cache import ResultCache
 from runkeel.metrics import JOBS
@@ -163,7 +163,7 @@
         Raises:
             RunkeelError: neither the coordinator nor the store could answer.
         """
-        if self.local is None and self._result_cache.has_all(job):
+        if self.local is None and self._result_cache.is_complete(job):
             return self._page_from_cache(job, position)
         answer = self._read_from_coordinator(job, position, wait_seconds)
         if answer is not None and answer.verified:
@@ -304,7 +304,7 @@
     def _page_from_cache(self, job: JobReference, position: int) -> ResultPage:
         """Return the cached results from a position on."""
         results = self._result_cache.from_position(job, position)
-        page = page_of(results, self._result_cache.total(job), 0, MAX_PAGE_BYTES)
+        page = make_page(results, self._result_cache.total(job), 0, MAX_PAGE_BYTES)
         return replace(page, position=position)
 
     def _item_from_coordinator(self, job: JobReference, item_id: str) -> str | None:
@@ -334,7 +334,7 @@
                 # Otherwise another task has added this segment in the meantime.
                 cached.results.extend(decode_segment(document.content)[1])
                 cached.segments += 1
-        return page_of(cached.results, len(cached.job.items), position, MAX_PAGE_BYTES)
+        return make_page(cached.results, len(cached.job.items), position, MAX_PAGE_BYTES)
 
     def _get_cached(self, job: JobReference) -> _CachedJob | None:
         """Return a tenant's job as read from the store; None if there is certainly no such job.
--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -1,7 +1,7 @@
-"""Hands copies of running texts to a coordinator whose predecessors have all lost them.
+"""Hands copies of partial outputs to a new coordinator that has none.
 
-Machines that are likely to coordinate may all lose power at once. So one node of another kind
-keeps copies too, and offers them to the next coordinator.
+All likely coordinators may lose power at once. Other nodes therefore keep copies too, and offer
+them to the next coordinator.
 """
 
 from __future__ import annotations
@@ -20,35 +20,34 @@
 from runkeel.wire.generated.jobs.ttypes import TextReplication, TextReplicationReply, TextUpdate
 from runkeel.wire.network import PeerNetwork
 
-OFFER_SECONDS = 3.0
-"""An offer that did not arrive is made again for so long.
+OFFER_TIMEOUT_SECONDS = 3.0
+"""Time for which a failed offer is retried.
 
-A coordinator that has just restarted loses the connections of the process before it, which its
-peers notice only by using them.
+The first call to a restarted coordinator may fail, on a connection to its previous process.
 """
 
-OFFER_RETRY_SECONDS = 0.1
-"""Pause before an offer is made again: short beside the time for which it is waited for."""
+OFFER_RETRY_DELAY_SECONDS = 0.1
+"""Pause before an offer is retried; short, as the coordinator waits only briefly for offers."""
 
-BATCH_TEXTS = 50
-"""Texts in one message."""
+MAX_OUTPUTS_PER_MESSAGE = 50
+"""Bound on the outputs that are sent in one message."""
 
 
 class TextReceiver(Protocol):
-    """The part of a coordinator's scheduler that takes texts."""
+    """The part of a coordinator's scheduler that receives partial outputs."""
 
     def lacks_text(self, item_id: str, precedence: tuple[int, int]) -> bool:
-        """Return whether an item may go on from a text of this precedence."""
+        """Return whether an item would continue from an output of this precedence."""
 
     def adopt_text(self, item_id: str, text: PartialText) -> None:
-        """Let an item that has not begun to run go on from a text."""
+        """Let an item that has not started continue from an output."""
 
 
 class TextHandOver:
-    """Both sides of the hand-over.
+    """Both sides of the handover: offers copies, and receives them while coordinating.
 
     Args:
-        receiver: the scheduler while this node coordinates.
+        receiver: returns the scheduler while this node coordinates, else None.
     """
 
     def __init__(
@@ -66,10 +65,10 @@
         copies.on_hand_over(self._receive)
 
     def offer(self, coordinator: str, epoch: int) -> None:
-        """Offer the copies of earlier epochs to a coordinator, in a task of its own.
+        """Offer the copies of earlier epochs to a coordinator, in the background.
 
-        They are kept: that coordinator may be lost before it has copied them to anybody, and the
-        next one wants them as well.
+        They are kept afterwards: the coordinator may fail before it has copied them to successors,
+        and the next one needs them too.
         """
         if self._copies.epoch < epoch and epoch > self._offered_epoch:
             self._offered_epoch = epoch
@@ -78,32 +77,37 @@
                 gevent.spawn(self._hand_over, coordinator, epoch, texts)
 
     def _hand_over(self, coordinator: str, epoch: int, texts: dict[str, PartialText]) -> None:
-        offers = [_offer(item_id, text) for item_id, text in texts.items()]
-        wanted = self._deliver(coordinator, epoch, offers)
-        for first in range(0, len(wanted), BATCH_TEXTS):
-            batch = wanted[first : first + BATCH_TEXTS]
+        offers = [_make_offer(item_id, text) for item_id, text in texts.items()]
+        wanted = self._send_until_answered(coordinator, epoch, offers)
+        for first in range(0, len(wanted), MAX_OUTPUTS_PER_MESSAGE):
+            batch = wanted[first : first + MAX_OUTPUTS_PER_MESSAGE]
             updates = [make_update(one, texts[one], None) for one in batch if one in texts]
-            self._deliver(coordinator, epoch, updates)
+            self._send_until_answered(coordinator, epoch, updates)
         logger.info(
-            "texts offered",
+            "partial outputs offered to coordinator",
             code="texts_offered",
             coordinator=coordinator,
             items=len(texts),
             wanted=len(wanted),
         )
 
-    def _deliver(self, coordinator: str, epoch: int, updates: list[TextUpdate]) -> list[str]:
-        """Send until an answer comes, while that coordinator is the latest that is known."""
-        deadline = steady_seconds() + OFFER_SECONDS
+    def _send_until_answered(
+        self, coordinator: str, epoch: int, updates: list[TextUpdate]
+    ) -> list[str]:
+        """Send updates, with retries, until the coordinator replies or a later one is known.
+
+        Returns the items whose output is wanted; empty without a reply.
+        """
+        deadline = steady_seconds() + OFFER_TIMEOUT_SECONDS
         while steady_seconds() < deadline and self._offered_epoch == epoch:
             wanted = self._send(coordinator, updates)
             if wanted is not None:
                 return wanted
-            gevent.sleep(OFFER_RETRY_SECONDS)
+            gevent.sleep(OFFER_RETRY_DELAY_SECONDS)
         return []
 
     def _send(self, coordinator: str, updates: list[TextUpdate]) -> list[str] | None:
-        """Return which texts are wanted; None without an answer."""
+        """Send updates; returns the items whose output is wanted, None without a reply."""
         message = TextReplication(self._shard, self._copies.epoch, updates, True)
         try:
             reply = self._network.call(
@@ -115,7 +119,7 @@
             )
         except RunkeelError as error:
             logger.info(
-                "texts not delivered",
+                "sending partial outputs failed",
                 code="texts_undelivered",
                 to=coordinator,
                 items=len(updates),
@@ -125,7 +129,7 @@
         return reply.missing
 
     def _receive(self, updates: list[TextUpdate]) -> list[str]:
-        """Take whole texts; returns the items whose offered text is wanted."""
+        """Adopt full outputs; returns the items whose offered output is wanted."""
         receiver = self._receiver()
         if receiver is None:
             return []
@@ -136,16 +140,16 @@
                 if receiver.lacks_text(update.item_id, offered):
                     wanted.append(update.item_id)
                 continue
-            receiver.adopt_text(update.item_id, _text(update))
+            receiver.adopt_text(update.item_id, _decode_output(update))
         return wanted
 
 
-def _offer(item_id: str, text: PartialText) -> TextUpdate:
+def _make_offer(item_id: str, text: PartialText) -> TextUpdate:
     count, versions = len(text.pieces), list(text.versions)
     return TextUpdate(item_id, text.generation, count, [], "", versions, text.whole)
 
 
-def _text(update: TextUpdate) -> PartialText:
+def _decode_output(update: TextUpdate) -> PartialText:
     return PartialText(
         list(update.pieces),
         update.last_event_id or None,
--- a/tests/jobs/test_coordinator.py
+++ b/tests/jobs/test_coordinator.py
@@ -201,13 +201,13 @@
         state = JobState(replace(job, wanted_groups=half))
         groups = [item.group for item in job.items]
         for item, group in zip(job.items, groups, strict=True):
-            if state.awaited.is_set():
+            if state.wanted_groups_complete.is_set():
                 break
             state.add_unlisted(ItemResult(item.item_id, ResultState.COMPLETED, "x"))
             state.add_unlisted(ItemResult(item.item_id, ResultState.COMPLETED, "again"))
             whole = {one for one in groups if groups.count(one) <= _ready(state, one)}
-            self.assertEqual(state.awaited.is_set(), len(whole) >= half, group)
-        self.assertTrue(state.awaited.is_set())
+            self.assertEqual(state.wanted_groups_complete.is_set(), len(whole) >= half, group)
+        self.assertTrue(state.wanted_groups_complete.is_set())
 
 
 def _ready(state, group):
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -1,4 +1,4 @@
-"""Jobs that are too large for one document, and reads that may be old."""
+"""Jobs that are too large for one document, and reads that may be outdated."""
 
 import json
 import unittest
@@ -37,7 +37,7 @@
         self.assertEqual(self.jobs.get(JOB_ID), job)
 
     def test_large_job_is_stored_in_parts_and_read_whole(self):
-        """Sweep at 303 servers: jobs of 1,040 items were refused, each time they came."""
+        """Guards against refusing jobs that exceed the size limit of a document."""
         job = make_large_job()
         JobSubmission.of_job(self.store, job).write()
         self.assertGreaterEqual(len(self._parts()), 200 * len(LARGE_BODY) // MAX_PART_BYTES)
@@ -46,7 +46,7 @@
             self.assertLessEqual(size, MAX_PART_BYTES)
         self.assertEqual(self.jobs.get(JOB_ID), job)
 
-    def test_job_is_not_there_until_its_document_is(self):
+    def test_job_does_not_exist_until_its_document_does(self):
         submission = JobSubmission.of_job(self.store, make_large_job())
         self.store.fail_next_write(StoreFault.DOWN)
         with self.assertRaises(RunkeelError) as caught:
@@ -56,13 +56,13 @@
         submission.write()
         self.assertIsNotNone(self.jobs.get(JOB_ID))
 
-    def test_lost_answers_of_parts_are_made_good(self):
+    def test_parts_are_written_again_after_lost_replies(self):
         self.store.fail_next_write(StoreFault.ANSWER_LOST, times=2)
         JobSubmission.of_job(self.store, make_large_job()).write()
         self.assertEqual(self.jobs.get(JOB_ID), make_large_job_like(self.jobs.get(JOB_ID)))
 
     def test_refused_submission_removes_its_own_parts_only(self):
-        """One node is refused while the client's next try is taken at another."""
+        """Covers a submission refused at one node whose retry is accepted at another."""
         refused, taken = (JobSubmission.of_job(self.store, make_large_job()) for _ in range(2))
         refused._write_parts()
         others = set(self._parts())
@@ -73,14 +73,14 @@
         self.assertFalse(others & set(self._parts()))
         self.assertIsNotNone(self.jobs.get(JOB_ID))
 
-    def test_store_that_is_away_while_parts_are_read_is_told(self):
+    def test_read_raises_if_the_store_fails_while_parts_are_read(self):
         JobSubmission.of_job(self.store, make_large_job()).write()
         document = self.store.get(DocumentKind.JOB, JOB_ID)
         self.store.down = True
         with self.assertRaises(RunkeelError):
             self.jobs.read(document)
 
-    def test_submission_tells_its_own_job_from_that_of_another_node(self):
+    def test_submission_distinguishes_its_own_job_from_that_of_another_node(self):
         first, second = (JobSubmission.of_job(self.store, make_large_job()) for _ in range(2))
         first.write()
         for submission, own in ((first, True), (second, False)):
@@ -88,7 +88,7 @@
                 submission.write()
             self.assertEqual(submission.owns(caught.exception.current), own)
 
-    def test_removed_job_leaves_nothing(self):
+    def test_removing_a_job_removes_all_its_documents(self):
         JobSubmission.of_job(self.store, make_large_job()).write()
         name = segment_name(JOB_ID, 0)
         self.store.create(DocumentKind.JOB_RESULTS, name, encode_segment(1, []))
@@ -104,18 +104,18 @@
         self.store.age()
         self.store.put(DocumentKind.JOB, "new", 2)
 
-    def test_old_answer_will_do_where_it_has_the_document(self):
+    def test_outdated_read_is_used_if_it_has_the_document(self):
         self.assertEqual(get_unchanging(self.store, DocumentKind.JOB, "old").content, 1)
         self.assertEqual(self.store.calls, {"get_any_age": 1})
 
-    def test_old_answer_that_lacks_the_document_decides_nothing(self):
+    def test_outdated_read_without_the_document_is_repeated(self):
         self.assertEqual(get_unchanging(self.store, DocumentKind.JOB, "new").content, 2)
         self.assertIsNone(get_unchanging(self.store, DocumentKind.JOB, "none"))
         self.assertEqual(self.store.calls, {"get_any_age": 2, "get": 2})
 
 
 def make_large_job_like(job):
-    """Return the large job with the time at which another one was submitted."""
+    """Return the large job with the submission time of another job."""
     return replace(make_large_job(), submitted_at=job.submitted_at)
 
 
--- a/tests/jobs/test_result_cache.py
+++ b/tests/jobs/test_result_cache.py
@@ -1,4 +1,4 @@
-"""Results that a node has read are not read again."""
+"""The cache of listed results."""
 
 import unittest
 
@@ -25,22 +25,22 @@
         self.assertEqual(names(cache.from_position("job", 0)), ["a", "b", "c", "d"])
         self.assertEqual(cache.from_position("other", 0), [])
 
-    def test_whether_a_job_is_known_whole(self):
+    def test_job_is_complete_once_all_results_are_cached(self):
         cache = ResultCache()
         cache.add("job", 2, 0, results("a"))
-        self.assertFalse(cache.has_all("job"))
+        self.assertFalse(cache.is_complete("job"))
         cache.add("job", 2, 1, results("b"))
-        self.assertTrue(cache.has_all("job"))
-        self.assertFalse(cache.has_all("other"))
+        self.assertTrue(cache.is_complete("job"))
+        self.assertFalse(cache.is_complete("other"))
 
-    def test_a_position_keeps_what_it_held_first(self):
+    def test_cached_positions_are_not_overwritten(self):
         cache = ResultCache()
         cache.add("job", 9, 0, results("a"))
         cache.add("job", 9, 0, results("other", "b"))
         self.assertEqual(names(cache.from_position("job", 0)), ["a", "b"])
 
-    def test_jobs_read_longest_ago_give_way(self):
-        cache = ResultCache(maximum_bytes=700)
+    def test_least_recently_read_job_is_evicted(self):
+        cache = ResultCache(max_bytes=700)
         cache.add("first", 9, 0, results("a"))
         cache.add("second", 9, 0, results("b"))
         cache.from_position("first", 0)
--- a/tests/jobs/test_text_hand_over.py
+++ b/tests/jobs/test_text_hand_over.py
@@ -1,4 +1,4 @@
-"""A node that keeps copies hands them to a coordinator that has none."""
+"""The handover of copied partial outputs to a new coordinator."""
 
 import unittest
 
@@ -10,11 +10,11 @@
 from runkeel_lab.standins.peer_network import MemoryNetwork
 from tests.jobs.test_text_replication import make_text
 
-LONGEST_WAIT_SECONDS = 5.0
+WAIT_TIMEOUT_SECONDS = 5.0
 
 
 class _Receiver:
-    """A scheduler that wants some items' texts."""
+    """A scheduler that wants the outputs of some items."""
 
     def __init__(self, *wanted):
         self.wanted = wanted
@@ -45,12 +45,12 @@
         return TextHandOver(peers, "fleet", TextCopies(peers), receiver)
 
     def _wait(self, condition):
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not condition():
             self.assertLess(steady_seconds(), deadline)
             gevent.sleep(0.01)
 
-    def test_texts_that_are_wanted_are_handed_over_whole(self):
+    def test_wanted_outputs_are_handed_over_in_full(self):
         self.keeper.offer("next", 4)
         self._wait(lambda: len(self.receiver.adopted) == 2)
         text = self.receiver.adopted["i"]
@@ -59,8 +59,8 @@
         self.assertNotIn("k", self.receiver.adopted)
         self.assertEqual(self.receiver.offered, dict.fromkeys("ijk", (1, 2)))
 
-    def test_texts_are_offered_to_the_coordinator_after_one_that_was_lost_at_once(self):
-        """kitami scale-1, seed 22: a coordinator was killed 0.1 s after it had got all copies."""
+    def test_outputs_are_offered_again_to_a_later_coordinator(self):
+        """Guards against losing all copies with a coordinator that fails after a handover."""
         self.network.silent.add("next")
         self.keeper.offer("next", 4)
         gevent.sleep(0.05)
@@ -69,8 +69,8 @@
         self.keeper.offer("third", 5)
         self._wait(lambda: len(self.receiver.adopted) == 2)
 
-    def test_offer_that_a_lost_connection_cut_is_made_again(self):
-        """shifted trouble-2: 49 running texts were offered to a restarted coordinator and lost."""
+    def test_failed_offer_is_retried(self):
+        """Guards against losing an offer on a stale connection to a restarted coordinator."""
         self.network.silent.add("next")
         self.keeper.offer("next", 4)
         gevent.sleep(0.05)
@@ -78,7 +78,7 @@
         self.network.silent.discard("next")
         self._wait(lambda: len(self.receiver.adopted) == 2)
 
-    def test_a_coordinator_is_offered_the_texts_once(self):
+    def test_a_coordinator_is_offered_the_outputs_once(self):
         self.keeper.offer("next", 4)
         self._wait(lambda: len(self.receiver.adopted) == 2)
         self.receiver.offered.clear()
@@ -91,7 +91,7 @@
         gevent.sleep(0.05)
         self.assertEqual(self.receiver.adopted, {})
 
-    def test_node_that_does_not_coordinate_takes_nothing(self):
+    def test_node_that_does_not_coordinate_adopts_nothing(self):
         self.receiver = None
         self.keeper.offer("next", 4)
         gevent.sleep(0.05)
