--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -25,7 +25,7 @@
     EncodedJob,
     decode_encoded_job,
     decode_job,
-    parts_of_job,
+    part_names,
 )
 from runkeel.jobs.job_state import JobState
 from runkeel.jobs.job_store import JobStore
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _AcceptedVersions:
-    """The oldest version that a job accepts, and the newest one when the job was noted."""
+    """The oldest version that a job accepts, and the newest version when that was recorded."""
 
     submitted_at: float
     minimum_version: int
@@ -83,7 +83,7 @@
         texts_expected: another node may offer partial outputs of the previous term; placement
             waits for them, up to :data:`PARTIAL_OUTPUT_WAIT_SECONDS`.
         earlier_runs_seconds: given the number of items of all open jobs, returns for how many
-            seconds other nodes may still run items for the previous coordinator.
+            seconds of the term other nodes may still run items for the previous coordinator.
 
     Attributes:
         loaded: set once the initial load has finished or timed out; :meth:`demand` is valid from
@@ -271,7 +271,7 @@
 
     def _record_ended_job(self, document: Document) -> None:
         """Record the accepted versions and item count of a job that ended before this term."""
-        if parts_of_job(document.content):
+        if part_names(document.content):
             self._spawn(self._read_ended_job, document)
         else:
             self._record_acceptance(decode_job(document.name, document.content))
@@ -320,7 +320,7 @@
         name = document.name
         unconfirmed = self._unconfirmed.pop(name, None)
         if unconfirmed is not None:
-            self._spawn(self._confirm_stored, unconfirmed, parts_of_job(document.content))
+            self._spawn(self._confirm_stored, unconfirmed, part_names(document.content))
             return
         if name in self._jobs or name in self._ended_ids or name in self._loading:
             return
@@ -348,7 +348,7 @@
         if job is None:
             self._loading.discard(document.name)
             return
-        state = JobState(job, parts_of_job(document.content))
+        state = JobState(job, part_names(document.content))
         writer = ResultWriter(self._store, state, self._epoch, self._on_listed)
         if not self._submitted_in_this_term() and not self._run_unless_superseded(writer.fence):
             return
--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -117,7 +117,7 @@
     return tenant_of_job(document.content) == tenant
 
 
-def parts_of_job(content: dict[str, Any]) -> tuple[str, ...]:
+def part_names(content: dict[str, Any]) -> tuple[str, ...]:
     """Return the names of a job's parts; empty if its document has the items."""
     return tuple(content.get("parts", ()))
 
--- a/src/runkeel/jobs/job_store.py
+++ b/src/runkeel/jobs/job_store.py
@@ -25,7 +25,7 @@
     EncodedJob,
     decode_job,
     encode_job,
-    parts_of_job,
+    part_names,
     segment_name,
 )
 from runkeel.state.unchanging import get_unchanging
@@ -79,7 +79,7 @@
         """Return whether a job's document may have been written by this submission."""
         if document is None or document.content is None:
             return True
-        return parts_of_job(document.content) == tuple(self.encoded.parts)
+        return part_names(document.content) == tuple(self.encoded.parts)
 
     def _write_parts(self) -> None:
         writes = {
@@ -130,7 +130,7 @@
 
     def read(self, document: Document) -> BatchJob | None:
         """Return the job of a document; None if a part is missing, as the job is being removed."""
-        names = parts_of_job(document.content)
+        names = part_names(document.content)
         contents = []
         for part in Pool(MAX_CONCURRENT_PARTS).imap(self._read_part, names):
             if isinstance(part, RunkeelError):
--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -1,7 +1,7 @@
 """Hands copies of partial outputs to a new coordinator that has none.
 
-All likely coordinators may lose power at once. Other nodes therefore keep copies too, and offer
-them to the next coordinator.
+All likely coordinators may lose power at once. Copies are therefore also kept by nodes that are
+not likely to coordinate, which offer them to the next coordinator.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
         self._copies = copies
         self._receiver = receiver
         self._offered_epoch = 0
-        copies.on_hand_over(self._receive)
+        copies.on_handover(self._receive)
 
     def offer(self, coordinator: str, epoch: int) -> None:
         """Offer the copies of earlier epochs to a coordinator, in the background.
@@ -72,22 +72,22 @@
         """
         if self._copies.epoch < epoch and epoch > self._offered_epoch:
             self._offered_epoch = epoch
-            texts = self._copies.fresh()
-            if texts:
-                gevent.spawn(self._hand_over, coordinator, epoch, texts)
+            outputs = self._copies.fresh()
+            if outputs:
+                gevent.spawn(self._run_handover, coordinator, epoch, outputs)
 
-    def _hand_over(self, coordinator: str, epoch: int, texts: dict[str, PartialText]) -> None:
-        offers = [_make_offer(item_id, text) for item_id, text in texts.items()]
+    def _run_handover(self, coordinator: str, epoch: int, outputs: dict[str, PartialText]) -> None:
+        offers = [_make_offer(item_id, output) for item_id, output in outputs.items()]
         wanted = self._send_until_answered(coordinator, epoch, offers)
         for first in range(0, len(wanted), MAX_OUTPUTS_PER_MESSAGE):
             batch = wanted[first : first + MAX_OUTPUTS_PER_MESSAGE]
-            updates = [make_update(one, texts[one], None) for one in batch if one in texts]
+            updates = [make_update(one, outputs[one], None) for one in batch if one in outputs]
             self._send_until_answered(coordinator, epoch, updates)
         logger.info(
             "partial outputs offered to coordinator",
             code="texts_offered",
             coordinator=coordinator,
-            items=len(texts),
+            items=len(outputs),
             wanted=len(wanted),
         )
 
@@ -144,9 +144,9 @@
         return wanted
 
 
-def _make_offer(item_id: str, text: PartialText) -> TextUpdate:
-    count, versions = len(text.pieces), list(text.versions)
-    return TextUpdate(item_id, text.generation, count, [], "", versions, text.whole)
+def _make_offer(item_id: str, output: PartialText) -> TextUpdate:
+    count, versions = len(output.pieces), list(output.versions)
+    return TextUpdate(item_id, output.generation, count, [], "", versions, output.whole)
 
 
 def _decode_output(update: TextUpdate) -> PartialText:
--- a/src/runkeel/jobs/text_replication.py
+++ b/src/runkeel/jobs/text_replication.py
@@ -55,7 +55,7 @@
     """Sends the partial outputs of one term to successors and to this node's journal.
 
     Args:
-        texts: returns the outputs of items that are running, waiting or not listed yet, by item.
+        outputs: returns the outputs of items that are running, waiting or not listed yet, by item.
         successors: returns the nodes that receive copies.
         journal: this node's own; None if it has no disk.
         finished: returns whether an item's result is listed, so that its copies may be removed.
@@ -66,7 +66,7 @@
         network: PeerNetwork,
         shard: str,
         epoch: int,
-        texts: Callable[[], dict[str, PartialText]],
+        outputs: Callable[[], dict[str, PartialText]],
         successors: Callable[[], list[str]],
         journal: TextJournal | None = None,
         finished: Callable[[str], bool] = lambda item_id: False,
@@ -77,7 +77,7 @@
         self._network = network
         self._shard = shard
         self._epoch = epoch
-        self._texts = texts
+        self._outputs = outputs
         self._successors = successors
         self._sent: dict[str, dict[str, SentOutput]] = {}
         self._task = BackgroundTask(self._run)
@@ -99,28 +99,28 @@
         """Send each successor, and write to the journal, what it does not have yet."""
         receivers = self._successors()
         self._sent = {one: sent for one, sent in self._sent.items() if one in receivers}
-        texts = self._texts()
-        sends = [gevent.spawn(self._send_to, receiver, texts) for receiver in receivers]
-        sends.append(gevent.spawn(self._write_journal, texts))
+        outputs = self._outputs()
+        sends = [gevent.spawn(self._send_to, receiver, outputs) for receiver in receivers]
+        sends.append(gevent.spawn(self._write_journal, outputs))
         gevent.joinall(sends)
 
-    def _write_journal(self, texts: dict[str, PartialText]) -> None:
+    def _write_journal(self, outputs: dict[str, PartialText]) -> None:
         if self._journal is not None:
-            self._journal.append(lambda starts_file: self._journal_messages(texts, starts_file))
+            self._journal.append(lambda starts_file: self._journal_messages(outputs, starts_file))
 
     def _journal_messages(
-        self, texts: dict[str, PartialText], starts_file: bool
+        self, outputs: dict[str, PartialText], starts_file: bool
     ) -> list[TextReplication]:
         if starts_file:
             self._journaled.clear()
-        updates = self._missing_updates(texts, self._journaled)
+        updates = self._missing_updates(outputs, self._journaled)
         _record_sent(updates, self._journaled)
         return _messages(self._shard, self._epoch, updates)
 
-    def _send_to(self, receiver: str, texts: dict[str, PartialText]) -> None:
+    def _send_to(self, receiver: str, outputs: dict[str, PartialText]) -> None:
         """Send a receiver its missing updates; stops at the first message that fails."""
         known = self._sent.setdefault(receiver, {})
-        for message in _messages(self._shard, self._epoch, self._missing_updates(texts, known)):
+        for message in _messages(self._shard, self._epoch, self._missing_updates(outputs, known)):
             if not self._send_message(receiver, message, known):
                 return
 
@@ -154,17 +154,17 @@
         return True
 
     def _missing_updates(
-        self, texts: dict[str, PartialText], known: dict[str, SentOutput]
+        self, outputs: dict[str, PartialText], known: dict[str, SentOutput]
     ) -> list[TextUpdate]:
         """Return the updates that a receiver lacks, removals of finished items first."""
-        gone = [item_id for item_id in known if item_id not in texts]
-        updates = [_removal(item_id) for item_id in gone if self._finished(item_id)]
-        for item_id in gone:
+        removed = [item_id for item_id in known if item_id not in outputs]
+        updates = [_removal(item_id) for item_id in removed if self._finished(item_id)]
+        for item_id in removed:
             del known[item_id]
         updates += [
             update
-            for item_id, text in texts.items()
-            if (update := make_update(item_id, text, known.get(item_id))) is not None
+            for item_id, output in outputs.items()
+            if (update := make_update(item_id, output, known.get(item_id))) is not None
         ]
         return updates
 
@@ -176,14 +176,14 @@
 def _messages(shard: str, epoch: int, updates: list[TextUpdate]) -> list[TextReplication]:
     """Group updates into messages of at most :data:`MAX_MESSAGE_BYTES` or one update."""
     batches: list[list[TextUpdate]] = []
-    room = 0
+    remaining = 0
     for update in updates:
         size = sum(len(piece) for piece in update.pieces)
-        if size > room or not batches:
+        if size > remaining or not batches:
             batches.append([])
-            room = MAX_MESSAGE_BYTES
+            remaining = MAX_MESSAGE_BYTES
         batches[-1].append(update)
-        room -= size
+        remaining -= size
     return [TextReplication(shard, epoch, batch, False) for batch in batches]
 
 
@@ -195,25 +195,25 @@
         known[update.item_id] = SentOutput(update.generation, pieces, update.whole)
 
 
-def make_update(item_id: str, text: PartialText, sent: SentOutput | None) -> TextUpdate | None:
+def make_update(item_id: str, output: PartialText, sent: SentOutput | None) -> TextUpdate | None:
     """Return the part of an output that a receiver lacks; None if it is up to date."""
-    first = sent.pieces if sent is not None and sent.generation == text.generation else 0
-    if sent is not None and first == len(text.pieces) and sent.whole == text.whole:
+    first = sent.pieces if sent is not None and sent.generation == output.generation else 0
+    if sent is not None and first == len(output.pieces) and sent.whole == output.whole:
         return None
     return TextUpdate(
         item_id,
-        text.generation,
+        output.generation,
         first,
-        list(text.pieces[first:]),
-        text.last_event_id or "",
-        list(text.versions),
-        text.whole,
+        list(output.pieces[first:]),
+        output.last_event_id or "",
+        list(output.versions),
+        output.whole,
     )
 
 
 @dataclass(slots=True)
 class _Copy:
-    text: PartialText
+    output: PartialText
     updated_at: float
 
 
@@ -238,11 +238,11 @@
         """The latest epoch of the copies."""
         return self._epoch
 
-    def on_hand_over(self, receive: Callable[[list[TextUpdate]], list[str]]) -> None:
+    def on_handover(self, handler: Callable[[list[TextUpdate]], list[str]]) -> None:
         """Set the handler of updates handed to this coordinator; it returns the wanted items."""
-        self._handover_handler = receive
+        self._handover_handler = handler
 
-    def hold(self, epoch: int, item_id: str, text: PartialText) -> None:
+    def hold(self, epoch: int, item_id: str, output: PartialText) -> None:
         """Keep an output that this node has read itself, for the coordinator of a later term."""
         if epoch < self._epoch:
             return
@@ -250,32 +250,34 @@
             self._copies.clear()
             self._epoch = epoch
         known = self._copies.get(item_id)
-        if known is None or known.text.precedence < text.precedence:
-            self._copies[item_id] = _Copy(text, steady_seconds())
+        if known is None or known.output.precedence < output.precedence:
+            self._copies[item_id] = _Copy(output, steady_seconds())
             self._evict()
 
     def fresh(self) -> dict[str, PartialText]:
         """Return the outputs updated within the retention period; callers must not modify them."""
         oldest = steady_seconds() - RETENTION_SECONDS
         return {
-            item_id: copy.text
+            item_id: copy.output
             for item_id, copy in self._copies.items()
             if copy.updated_at >= oldest
         }
 
     def take(self) -> dict[str, PartialText]:
         """Return the outputs updated within the retention period and remove all copies."""
-        texts = {item_id: _with_own_generation(text) for item_id, text in self.fresh().items()}
+        outputs = {
+            item_id: _with_own_generation(output) for item_id, output in self.fresh().items()
+        }
         self._copies.clear()
-        if texts:
+        if outputs:
             logger.info(
                 "partial outputs taken over from copies",
                 code="texts_taken",
-                items=len(texts),
-                events=sum(len(text.pieces) for text in texts.values()),
+                items=len(outputs),
+                events=sum(len(output.pieces) for output in outputs.values()),
                 epoch=self._epoch,
             )
-        return texts
+        return outputs
 
     def _receive(self, peer: str, message: TextReplication) -> tuple[int, TextReplicationReply]:
         if message.handover:
@@ -310,7 +312,7 @@
 
     def _full_messages(self, message: TextReplication) -> list[TextReplication]:
         """Return messages with all copies in full; they already include the given message."""
-        updates = [make_update(one, copy.text, None) for one, copy in self._copies.items()]
+        updates = [make_update(one, copy.output, None) for one, copy in self._copies.items()]
         return _messages(message.shard, message.epoch, updates)
 
     def _apply(self, update: TextUpdate, now: float) -> bool:
@@ -322,12 +324,12 @@
         if update.first_piece == 0:
             copy = _Copy(PartialText(generation=update.generation), 0.0)
             self._copies[update.item_id] = copy
-        elif copy is None or not _continues(copy.text, update):
+        elif copy is None or not _continues(copy.output, update):
             return False
-        copy.text.pieces.extend(update.pieces)
-        copy.text.last_event_id = update.last_event_id or None
-        copy.text.versions = list(update.versions)
-        copy.text.whole = update.whole
+        copy.output.pieces.extend(update.pieces)
+        copy.output.last_event_id = update.last_event_id or None
+        copy.output.versions = list(update.versions)
+        copy.output.whole = update.whole
         copy.updated_at = now
         return True
 
@@ -339,11 +341,11 @@
             self._copies.pop(next(iter(self._copies)))
 
 
-def _continues(text: PartialText, update: TextUpdate) -> bool:
+def _continues(output: PartialText, update: TextUpdate) -> bool:
     """Return whether an update starts exactly where a copy ends."""
-    return text.generation == update.generation and len(text.pieces) == update.first_piece
+    return output.generation == update.generation and len(output.pieces) == update.first_piece
 
 
-def _with_own_generation(text: PartialText) -> PartialText:
+def _with_own_generation(output: PartialText) -> PartialText:
     """Return a copy of an output with a new generation number of this process."""
-    return PartialText(text.pieces, text.last_event_id, text.versions, text.whole)
+    return PartialText(output.pieces, output.last_event_id, output.versions, output.whole)
--- a/tests/jobs/test_text_fuzz.py
+++ b/tests/jobs/test_text_fuzz.py
@@ -29,15 +29,15 @@
     )
 
 
-def continues_with_gap(text, update):
+def continues_with_gap(output, update):
     """Mutant of _continues that does not detect pieces lost with a message."""
-    return text.generation == update.generation
+    return output.generation == update.generation
 
 
-def update_of_any_run(item_id, text, sent):
+def update_of_any_run(item_id, output, sent):
     """Mutant of make_update that sends a restarted output as a continuation of the previous one."""
-    known = replace(sent, generation=text.generation) if sent is not None else None
-    return make_update(item_id, text, known)
+    known = replace(sent, generation=output.generation) if sent is not None else None
+    return make_update(item_id, output, known)
 
 
 make_update = text_replication.make_update
--- a/tests/jobs/test_text_hand_over.py
+++ b/tests/jobs/test_text_hand_over.py
@@ -8,7 +8,7 @@
 from runkeel.jobs.text_hand_over import TextHandOver
 from runkeel.jobs.text_replication import TextCopies, TextSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
-from tests.jobs.test_text_replication import make_text
+from tests.jobs.test_text_replication import make_output
 
 WAIT_TIMEOUT_SECONDS = 5.0
 
@@ -25,8 +25,8 @@
         self.offered[item_id] = precedence
         return item_id in self.wanted
 
-    def adopt_text(self, item_id, text):
-        self.adopted[item_id] = text
+    def adopt_text(self, item_id, output):
+        self.adopted[item_id] = output
 
 
 class TextHandOverTest(unittest.TestCase):
@@ -35,9 +35,9 @@
         self.receiver = _Receiver("i", "j")
         self.keeper = self._node("edge", lambda: None)
         self._node("next", lambda: self.receiver)
-        texts = {name: make_text("x", "y", versions=(1, 2)) for name in ("i", "j", "k")}
+        outputs = {name: make_output("x", "y", versions=(1, 2)) for name in ("i", "j", "k")}
         TextSender(
-            self.network.node("first"), "fleet", 3, lambda: texts, lambda: ["edge"]
+            self.network.node("first"), "fleet", 3, lambda: outputs, lambda: ["edge"]
         ).send_once()
 
     def _node(self, name, receiver):
@@ -53,9 +53,9 @@
     def test_wanted_outputs_are_handed_over_in_full(self):
         self.keeper.offer("next", 4)
         self._wait(lambda: len(self.receiver.adopted) == 2)
-        text = self.receiver.adopted["i"]
-        self.assertEqual((text.pieces, text.last_event_id), (["x", "y"], "2"))
-        self.assertEqual((text.versions, text.whole), ([1, 2], False))
+        output = self.receiver.adopted["i"]
+        self.assertEqual((output.pieces, output.last_event_id), (["x", "y"], "2"))
+        self.assertEqual((output.versions, output.whole), ([1, 2], False))
         self.assertNotIn("k", self.receiver.adopted)
         self.assertEqual(self.receiver.offered, dict.fromkeys("ijk", (1, 2)))
 
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_text_journal.py
@@ -18,7 +18,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name) / "texts"
-        self.texts = {}
+        self.outputs = {}
         self.network = MemoryNetwork()
 
     def _process(self, epoch=1, max_file_bytes=1_000_000):
@@ -27,29 +27,29 @@
         self.addCleanup(journal.close)
         found = TextCopies(self.network.node("a"), journal).take()
         sender = TextSender(
-            self.network.node("a"), "fleet", epoch, lambda: self.texts, lambda: [], journal
+            self.network.node("a"), "fleet", epoch, lambda: self.outputs, lambda: [], journal
         )
         return sender, found
 
     def _files(self):
         return sorted(path.name for path in self.folder.iterdir())
 
-    def _text(self, pieces, versions=(1,)):
+    def _make_output(self, pieces, versions=(1,)):
         return PartialText([f"p{n}" for n in range(pieces)], str(pieces), list(versions))
 
-    def _grow(self, text):
-        text.pieces.append(f"p{len(text.pieces)}")
-        text.last_event_id = str(len(text.pieces))
+    def _grow(self, output):
+        output.pieces.append(f"p{len(output.pieces)}")
+        output.last_event_id = str(len(output.pieces))
 
     def _write_steps(self, sender, steps):
         for _ in range(steps):
-            self._grow(self.texts["i"])
+            self._grow(self.outputs["i"])
             sender.send_once()
 
     def test_restarted_process_restores_its_outputs(self):
         sender, found = self._process()
         self.assertEqual(found, {})
-        self.texts["i"] = self._text(2)
+        self.outputs["i"] = self._make_output(2)
         sender.send_once()
         self._write_steps(sender, 3)
         copy = self._process(epoch=2)[1]["i"]
@@ -58,7 +58,7 @@
 
     def test_damaged_end_is_ignored(self):
         sender, _ = self._process()
-        self.texts["i"] = self._text(1)
+        self.outputs["i"] = self._make_output(1)
         self._write_steps(sender, 3)
         path = self.folder / self._files()[-1]
         data = path.read_bytes()
@@ -71,8 +71,8 @@
 
     def test_new_file_starts_with_all_outputs_and_old_files_are_removed(self):
         sender, _ = self._process(max_file_bytes=200)
-        self.texts["other"] = self._text(4)
-        self.texts["i"] = self._text(1)
+        self.outputs["other"] = self._make_output(4)
+        self.outputs["i"] = self._make_output(1)
         self._write_steps(sender, 30)
         self.assertEqual(len(self._files()), 2)
         (self.folder / self._files()[0]).unlink()
@@ -86,7 +86,9 @@
         The repeated full copies took too much memory.
         """
         sender, _ = self._process(max_file_bytes=200)
-        self.texts = {f"t{n}": self._text(40) for n in range(40)} | {"i": self._text(1)}
+        self.outputs = {f"t{n}": self._make_output(40) for n in range(40)} | {
+            "i": self._make_output(1)
+        }
         sizes = []
         with mock.patch.object(text_journal, "_encode", wraps=text_journal._encode) as encode:
             self._write_steps(sender, 10)
@@ -97,31 +99,31 @@
         """Guards against a record too large to encode, which ends the writer's task."""
         sender, _ = self._process()
         piece = "x" * (text_replication.MAX_MESSAGE_BYTES // 2)
-        self.texts = {f"t{n}": PartialText([piece], "1", [1]) for n in range(40)}
+        self.outputs = {f"t{n}": PartialText([piece], "1", [1]) for n in range(40)}
         sender.send_once()
-        self.assertEqual(sorted(self._process(epoch=2)[1]), sorted(self.texts))
+        self.assertEqual(sorted(self._process(epoch=2)[1]), sorted(self.outputs))
 
     def test_second_restart_restores_outputs_from_before_the_first(self):
         sender, _ = self._process()
-        self.texts["i"] = self._text(3)
+        self.outputs["i"] = self._make_output(3)
         sender.send_once()
         sender, _ = self._process(epoch=1)
-        self.texts = {"j": self._text(2)}
+        self.outputs = {"j": self._make_output(2)}
         sender.send_once()
         self.assertEqual(sorted(self._process(epoch=3)[1]), ["i", "j"])
 
     def test_outputs_of_an_earlier_term_are_dropped(self):
         sender, _ = self._process(epoch=1)
-        self.texts["i"] = self._text(3, versions=(1,))
+        self.outputs["i"] = self._make_output(3, versions=(1,))
         sender.send_once()
         sender, _ = self._process(epoch=2)
-        self.texts = {"j": self._text(2)}
+        self.outputs = {"j": self._make_output(2)}
         sender.send_once()
         self.assertEqual(sorted(self._process(epoch=3)[1]), ["j"])
 
     def test_failed_disk_is_retried_later_with_all_outputs(self):
         sender, _ = self._process()
-        self.texts["i"] = self._text(2)
+        self.outputs["i"] = self._make_output(2)
         with mock.patch.object(text_journal.os, "fdatasync", side_effect=OSError("disk")):
             self._write_steps(sender, 2)
         self._write_steps(sender, 1)
@@ -132,7 +134,7 @@
     def test_uncreatable_folder_raises_no_error(self):
         self.folder.parent.joinpath("texts").write_text("a file")
         sender, found = self._process()
-        self.texts["i"] = self._text(2)
+        self.outputs["i"] = self._make_output(2)
         sender.send_once()
         self.assertEqual(found, {})
 
@@ -140,8 +142,8 @@
         journal = TextJournal(self.folder)
         self.addCleanup(journal.close)
         copies = TextCopies(self.network.node("b"), journal)
-        sender = TextSender(self.network.node("a"), "fleet", 4, lambda: self.texts, lambda: ["b"])
-        self.texts["i"] = self._text(2)
+        sender = TextSender(self.network.node("a"), "fleet", 4, lambda: self.outputs, lambda: ["b"])
+        self.outputs["i"] = self._make_output(2)
         self._write_steps(sender, 2)
         restarted = TextCopies(self.network.node("b"), TextJournal(self.folder))
         self.assertEqual(restarted.epoch, 4)
@@ -151,14 +153,14 @@
         now = time.time()
         sender, _ = self._process()
         for name, age in (("old", RETENTION_SECONDS + 1.0), ("i", 1.0)):
-            self.texts[name] = self._text(2)
+            self.outputs[name] = self._make_output(2)
             with mock.patch.object(text_journal.time, "time", return_value=now - age):
                 sender.send_once()
         self.assertEqual(list(self._process(epoch=2)[1]), ["i"])
 
     def test_outputs_are_restored_after_the_clock_was_set_back(self):
         sender, _ = self._process()
-        self.texts["i"] = self._text(2)
+        self.outputs["i"] = self._make_output(2)
         with mock.patch.object(text_journal.time, "time", return_value=time.time() + 3600.0):
             sender.send_once()
         self.assertEqual(list(self._process(epoch=2)[1]), ["i"])
--- a/tests/jobs/test_text_replication.py
+++ b/tests/jobs/test_text_replication.py
@@ -10,7 +10,7 @@
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
-def make_text(*pieces, versions=(1,), whole=False):
+def make_output(*pieces, versions=(1,), whole=False):
     return PartialText(list(pieces), str(len(pieces)), list(versions), whole)
 
 
@@ -18,7 +18,7 @@
     def setUp(self):
         self.network = MemoryNetwork()
         self.copies = TextCopies(self.network.node("b"))
-        self.texts = {}
+        self.outputs = {}
         self.finished = set()
         self.successors = ["b"]
         self.sender = self._sender(1)
@@ -28,88 +28,88 @@
             self.network.node("a"),
             "fleet",
             epoch,
-            lambda: self.texts,
+            lambda: self.outputs,
             lambda: self.successors,
             finished=lambda item_id: item_id in self.finished,
         )
 
     def test_successor_has_the_output(self):
-        self.texts["i"] = make_text("x", "y", versions=(1, 2))
+        self.outputs["i"] = make_output("x", "y", versions=(1, 2))
         self.sender.send_once()
-        self.texts["i"].pieces.append("z")
-        self.texts["i"].last_event_id = "3"
+        self.outputs["i"].pieces.append("z")
+        self.outputs["i"].last_event_id = "3"
         self.sender.send_once()
         copy = self.copies.take()["i"]
         self.assertEqual(copy.pieces, ["x", "y", "z"])
         self.assertEqual((copy.last_event_id, copy.versions), ("3", [1, 2]))
 
     def test_restarted_output_replaces_the_copy(self):
-        text = self.texts["i"] = make_text("x", "y")
+        output = self.outputs["i"] = make_output("x", "y")
         self.sender.send_once()
-        text.clear()
-        text.pieces.extend(["p", "q", "r"])
-        text.versions.append(2)
+        output.clear()
+        output.pieces.extend(["p", "q", "r"])
+        output.versions.append(2)
         self.sender.send_once()
         copy = self.copies.take()["i"]
         self.assertEqual((copy.pieces, copy.versions), (["p", "q", "r"], [2]))
 
     def test_another_output_of_the_same_item_replaces_the_copy(self):
         """Guards against a copy that joins pieces of two runs."""
-        self.texts["i"] = make_text("a", "b", versions=(1,))
+        self.outputs["i"] = make_output("a", "b", versions=(1,))
         self.sender.send_once()
-        self.texts["i"] = make_text("p", "q", "r", versions=(2,))
+        self.outputs["i"] = make_output("p", "q", "r", versions=(2,))
         self.sender.send_once()
         copy = self.copies.take()["i"]
         self.assertEqual((copy.pieces, copy.versions), (["p", "q", "r"], [2]))
 
     def test_output_taken_over_has_a_new_generation(self):
-        self.texts["i"] = make_text("a", "b")
+        self.outputs["i"] = make_output("a", "b")
         self.sender.send_once()
         taken = self.copies.take()["i"]
-        self.assertNotEqual(taken.generation, self.texts["i"].generation)
+        self.assertNotEqual(taken.generation, self.outputs["i"].generation)
 
     def test_copies_of_listed_items_are_removed_and_others_stay(self):
         """Guards against handing over outputs of items that are already listed."""
         self.finished = {"i"}
-        self.texts["i"], self.texts["j"] = make_text("x"), make_text("y")
+        self.outputs["i"], self.outputs["j"] = make_output("x"), make_output("y")
         self.sender.send_once()
-        self.texts.clear()
+        self.outputs.clear()
         self.sender.send_once()
         self.assertEqual(list(self.copies.take()), ["j"])
 
     def test_item_that_is_run_again_is_copied_again(self):
         self.finished = {"i"}
-        self.texts["i"] = make_text("x")
+        self.outputs["i"] = make_output("x")
         self.sender.send_once()
-        del self.texts["i"]
+        del self.outputs["i"]
         self.sender.send_once()
-        self.texts["i"] = make_text("p", "q")
+        self.outputs["i"] = make_output("p", "q")
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["p", "q"])
 
     def test_completion_is_replicated(self):
-        text = self.texts["i"] = make_text("x")
+        output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
-        text.whole = True
+        output.whole = True
         self.sender.send_once()
         self.assertTrue(self.copies.take()["i"].whole)
 
     def test_lost_update_is_sent_again(self):
-        text = self.texts["i"] = make_text("x")
+        output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
         self.network.silent.add("b")
-        text.pieces.append("y")
+        output.pieces.append("y")
         self.sender.send_once()
         self.network.silent.clear()
-        text.pieces.append("z")
+        output.pieces.append("z")
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["x", "y", "z"])
 
     def test_restarted_successor_requests_the_full_output(self):
-        text = self.texts["i"] = make_text("x")
+        output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
         self.copies = TextCopies(self.network.node("b"))
-        text.pieces.append("y")
+        output.pieces.append("y")
         self.sender.send_once()
         self.assertEqual(self.copies.take(), {})
         self.sender.send_once()
@@ -117,16 +117,16 @@
 
     def test_new_successor_gets_full_outputs(self):
         other = TextCopies(self.network.node("c"))
-        self.texts["i"] = make_text("x", "y")
+        self.outputs["i"] = make_output("x", "y")
         self.sender.send_once()
         self.successors = ["b", "c"]
         self.sender.send_once()
         self.assertEqual(other.take()["i"].pieces, ["x", "y"])
 
     def test_updates_of_an_earlier_epoch_are_ignored(self):
-        self.texts["i"] = make_text("new")
+        self.outputs["i"] = make_output("new")
         self._sender(2).send_once()
-        self.texts["i"] = make_text("old", "old")
+        self.outputs["i"] = make_output("old", "old")
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["new"])
 
@@ -134,7 +134,7 @@
         """Guards against one message of all outputs that times out."""
         piece = "x" * (MAX_MESSAGE_BYTES // 4)
         for number in range(9):
-            self.texts[f"i{number}"] = make_text(piece)
+            self.outputs[f"i{number}"] = make_output(piece)
         sizes = []
         with mock.patch.object(self.copies, "_apply", wraps=self.copies._apply) as apply:
             receive = self.copies._receive
@@ -151,7 +151,7 @@
         """Guards against each lost reply causing all outputs to be sent again."""
         piece = "x" * (MAX_MESSAGE_BYTES // 2)
         for number in range(4):
-            self.texts[f"i{number}"] = make_text(piece)
+            self.outputs[f"i{number}"] = make_output(piece)
         receive, sent = self.copies._receive, []
 
         def lose_second(peer, message):
@@ -167,16 +167,16 @@
         self.assertEqual(len(self.copies.take()), 4)
 
     def test_output_read_by_the_node_itself_is_kept_for_a_later_term(self):
-        self.copies.hold(3, "i", make_text("x", "y"))
-        self.copies.hold(3, "i", make_text("x"))
-        self.copies.hold(2, "j", make_text("z"))
+        self.copies.hold(3, "i", make_output("x", "y"))
+        self.copies.hold(3, "i", make_output("x"))
+        self.copies.hold(2, "j", make_output("z"))
         self.assertEqual(self.copies.epoch, 3)
         taken = self.copies.take()
-        self.assertEqual({name: text.pieces for name, text in taken.items()}, {"i": ["x", "y"]})
+        self.assertEqual({name: output.pieces for name, output in taken.items()}, {"i": ["x", "y"]})
 
     def test_unreachable_successor_raises_no_error(self):
         self.network.silent.add("b")
-        self.texts["i"] = make_text("x")
+        self.outputs["i"] = make_output("x")
         self.sender.send_once()
         with self.assertRaises(RunkeelError) as caught:
             self.network.call("a", "b", 1, None)
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/text_machine.py
@@ -61,7 +61,7 @@
             patch.start()
         self.network = MemoryNetwork()
         self.history = {}
-        self.texts = {}
+        self.outputs = {}
         self.listed = set()
         self.runs = 0
         self.epoch = 1
@@ -90,24 +90,24 @@
             self.link,
             "fleet",
             self.epoch,
-            lambda: self.texts,
+            lambda: self.outputs,
             lambda: [self.other],
             self.journals[name],
             lambda item: item in self.listed,
         )
 
     def _record(self, item):
-        self.history.setdefault(item, set()).add(tuple(self.texts[item].pieces))
+        self.history.setdefault(item, set()).add(tuple(self.outputs[item].pieces))
 
     def _take_over(self, name):
         """Make a node coordinator from its copies; each must be an output that the item had."""
         self.epoch += 1
-        self.texts = self.copies[name].take()
+        self.outputs = self.copies[name].take()
         self.listed.clear()
-        for item, text in self.texts.items():
+        for item, output in self.outputs.items():
             known = self.history.get(item, set())
-            assert tuple(text.pieces) in known, f"{item} never had {text.pieces}"
-            assert text.last_event_id == (str(len(text.pieces)) if text.pieces else None)
+            assert tuple(output.pieces) in known, f"{item} never had {output.pieces}"
+            assert output.last_event_id == (str(len(output.pieces)) if output.pieces else None)
         self.sender = self._new_sender(name)
 
     @rule(item=item_names, growth=growths)
@@ -120,26 +120,26 @@
     def grow(self, item, growth):
         """An item produces events; it starts if it is not running."""
         self.listed.discard(item)
-        text = self.texts.setdefault(item, PartialText())
-        if not text.pieces:
+        output = self.outputs.setdefault(item, PartialText())
+        if not output.pieces:
             self.runs += 1
         for _ in range(growth):
-            text.pieces.append(f"{item} of run {self.runs}, piece {len(text.pieces)}")
-        text.last_event_id = str(len(text.pieces))
-        text.versions = [1]
+            output.pieces.append(f"{item} of run {self.runs}, piece {len(output.pieces)}")
+        output.last_event_id = str(len(output.pieces))
+        output.versions = [1]
         self._record(item)
 
     @rule(item=item_names)
     def restart(self, item):
         """An item's output is discarded and generated again."""
-        if item in self.texts:
-            self.texts[item].clear()
+        if item in self.outputs:
+            self.outputs[item].clear()
             self._record(item)
 
     @rule(item=item_names, listed=strategies.booleans())
     def end(self, item, listed):
         """An item's result is listed, or its job ends without it."""
-        if self.texts.pop(item, None) is not None and listed:
+        if self.outputs.pop(item, None) is not None and listed:
             self.listed.add(item)
 
     @rule(lose=strategies.sampled_from(["", "", "message", "reply"]))
