--- a/tests/jobs/test_text_replication.py
+++ b/tests/jobs/test_text_replication.py
@@ -1,16 +1,16 @@
-"""Texts of running generations reach the coordinator's successor."""
+"""Replication of partial outputs to the coordinator's successors."""
 
 import unittest
 from unittest import mock
 
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs.generation_run import PartialText
-from runkeel.jobs.text_replication import MESSAGE_BYTES, TextCopies, TextSender
+from runkeel.jobs.text_replication import MAX_MESSAGE_BYTES, TextCopies, TextSender
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
-def make_text(*pieces, versions=(1,), whole=False):
+def make_output(*pieces, versions=(1,), whole=False):
     return PartialText(list(pieces), str(len(pieces)), list(versions), whole)
 
 
@@ -18,7 +18,7 @@
     def setUp(self):
         self.network = MemoryNetwork()
         self.copies = TextCopies(self.network.node("b"))
-        self.texts = {}
+        self.outputs = {}
         self.finished = set()
         self.successors = ["b"]
         self.sender = self._sender(1)
@@ -28,113 +28,113 @@
             self.network.node("a"),
             "fleet",
             epoch,
-            lambda: self.texts,
+            lambda: self.outputs,
             lambda: self.successors,
             finished=lambda item_id: item_id in self.finished,
         )
 
-    def test_successor_has_the_text(self):
-        self.texts["i"] = make_text("x", "y", versions=(1, 2))
+    def test_successor_has_the_output(self):
+        self.outputs["i"] = make_output("x", "y", versions=(1, 2))
         self.sender.send_once()
-        self.texts["i"].pieces.append("z")
-        self.texts["i"].last_event_id = "3"
+        self.outputs["i"].pieces.append("z")
+        self.outputs["i"].last_event_id = "3"
         self.sender.send_once()
         copy = self.copies.take()["i"]
         self.assertEqual(copy.pieces, ["x", "y", "z"])
         self.assertEqual((copy.last_event_id, copy.versions), ("3", [1, 2]))
 
-    def test_text_started_anew_replaces_the_copy(self):
-        text = self.texts["i"] = make_text("x", "y")
+    def test_restarted_output_replaces_the_copy(self):
+        output = self.outputs["i"] = make_output("x", "y")
         self.sender.send_once()
-        text.clear()
-        text.pieces.extend(["p", "q", "r"])
-        text.versions.append(2)
+        output.clear()
+        output.pieces.extend(["p", "q", "r"])
+        output.versions.append(2)
         self.sender.send_once()
         copy = self.copies.take()["i"]
         self.assertEqual((copy.pieces, copy.versions), (["p", "q", "r"], [2]))
 
-    def test_another_text_of_the_same_item_replaces_the_copy(self):
-        """A copy joined from two runs would be continued as one text (ORDER, VERSION)."""
-        self.texts["i"] = make_text("a", "b", versions=(1,))
+    def test_another_output_of_the_same_item_replaces_the_copy(self):
+        """Guards against a copy that joins pieces of two runs."""
+        self.outputs["i"] = make_output("a", "b", versions=(1,))
         self.sender.send_once()
-        self.texts["i"] = make_text("p", "q", "r", versions=(2,))
+        self.outputs["i"] = make_output("p", "q", "r", versions=(2,))
         self.sender.send_once()
         copy = self.copies.take()["i"]
         self.assertEqual((copy.pieces, copy.versions), (["p", "q", "r"], [2]))
 
-    def test_text_taken_over_is_told_apart_from_those_of_this_node(self):
-        self.texts["i"] = make_text("a", "b")
+    def test_output_taken_over_has_a_new_generation(self):
+        self.outputs["i"] = make_output("a", "b")
         self.sender.send_once()
         taken = self.copies.take()["i"]
-        self.assertNotEqual(taken.generation, self.texts["i"].generation)
+        self.assertNotEqual(taken.generation, self.outputs["i"].generation)
 
-    def test_copies_of_listed_items_are_dropped_and_others_stay(self):
-        """kitami-grown quiet-1: 1,028 texts were handed over for some 100 that were open."""
+    def test_copies_of_listed_items_are_removed_and_others_stay(self):
+        """Guards against handing over outputs of items that are already listed."""
         self.finished = {"i"}
-        self.texts["i"], self.texts["j"] = make_text("x"), make_text("y")
+        self.outputs["i"], self.outputs["j"] = make_output("x"), make_output("y")
         self.sender.send_once()
-        self.texts.clear()
+        self.outputs.clear()
         self.sender.send_once()
         self.assertEqual(list(self.copies.take()), ["j"])
 
-    def test_item_that_comes_again_is_copied_again(self):
+    def test_item_that_is_run_again_is_copied_again(self):
         self.finished = {"i"}
-        self.texts["i"] = make_text("x")
+        self.outputs["i"] = make_output("x")
         self.sender.send_once()
-        del self.texts["i"]
+        del self.outputs["i"]
         self.sender.send_once()
-        self.texts["i"] = make_text("p", "q")
+        self.outputs["i"] = make_output("p", "q")
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["p", "q"])
 
-    def test_end_of_a_text_is_told(self):
-        text = self.texts["i"] = make_text("x")
+    def test_completion_is_replicated(self):
+        output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
-        text.whole = True
+        output.whole = True
         self.sender.send_once()
         self.assertTrue(self.copies.take()["i"].whole)
 
-    def test_lost_update_is_made_good(self):
-        text = self.texts["i"] = make_text("x")
+    def test_lost_update_is_sent_again(self):
+        output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
         self.network.silent.add("b")
-        text.pieces.append("y")
+        output.pieces.append("y")
         self.sender.send_once()
         self.network.silent.clear()
-        text.pieces.append("z")
+        output.pieces.append("z")
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["x", "y", "z"])
 
-    def test_restarted_successor_asks_for_the_whole_text(self):
-        text = self.texts["i"] = make_text("x")
+    def test_restarted_successor_requests_the_full_output(self):
+        output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
         self.copies = TextCopies(self.network.node("b"))
-        text.pieces.append("y")
+        output.pieces.append("y")
         self.sender.send_once()
         self.assertEqual(self.copies.take(), {})
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["x", "y"])
 
-    def test_new_successor_gets_everything(self):
+    def test_new_successor_gets_full_outputs(self):
         other = TextCopies(self.network.node("c"))
-        self.texts["i"] = make_text("x", "y")
+        self.outputs["i"] = make_output("x", "y")
         self.sender.send_once()
         self.successors = ["b", "c"]
         self.sender.send_once()
         self.assertEqual(other.take()["i"].pieces, ["x", "y"])
 
-    def test_older_coordinator_changes_nothing(self):
-        self.texts["i"] = make_text("new")
+    def test_updates_of_an_earlier_epoch_are_ignored(self):
+        self.outputs["i"] = make_output("new")
         self._sender(2).send_once()
-        self.texts["i"] = make_text("old", "old")
+        self.outputs["i"] = make_output("old", "old")
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["new"])
 
-    def test_texts_that_are_large_together_come_in_several_messages(self):
-        """Trial with 241 engines: one message of all texts never arrived in its time."""
-        piece = "x" * (MESSAGE_BYTES // 4)
+    def test_large_updates_are_split_into_several_messages(self):
+        """Guards against one message of all outputs that times out."""
+        piece = "x" * (MAX_MESSAGE_BYTES // 4)
         for number in range(9):
-            self.texts[f"i{number}"] = make_text(piece)
+            self.outputs[f"i{number}"] = make_output(piece)
         sizes = []
         with mock.patch.object(self.copies, "_apply", wraps=self.copies._apply) as apply:
             receive = self.copies._receive
@@ -147,11 +147,11 @@
             self.sender.send_once()
         self.assertEqual((sizes, apply.call_count), ([4, 4, 1], 9))
 
-    def test_after_a_lost_message_the_others_are_not_sent_again(self):
-        """Trial with 241 engines: each lost answer had all texts sent again, and lost more."""
-        piece = "x" * (MESSAGE_BYTES // 2)
+    def test_delivered_messages_are_not_sent_again_after_a_lost_one(self):
+        """Guards against each lost reply causing all outputs to be sent again."""
+        piece = "x" * (MAX_MESSAGE_BYTES // 2)
         for number in range(4):
-            self.texts[f"i{number}"] = make_text(piece)
+            self.outputs[f"i{number}"] = make_output(piece)
         receive, sent = self.copies._receive, []
 
         def lose_second(peer, message):
@@ -166,17 +166,17 @@
         self.assertEqual(sent, [["i0", "i1"], ["i2", "i3"], ["i2", "i3"]])
         self.assertEqual(len(self.copies.take()), 4)
 
-    def test_text_that_a_node_has_read_itself_is_kept_for_a_later_term(self):
-        self.copies.hold(3, "i", make_text("x", "y"))
-        self.copies.hold(3, "i", make_text("x"))
-        self.copies.hold(2, "j", make_text("z"))
+    def test_output_read_by_the_node_itself_is_kept_for_a_later_term(self):
+        self.copies.hold(3, "i", make_output("x", "y"))
+        self.copies.hold(3, "i", make_output("x"))
+        self.copies.hold(2, "j", make_output("z"))
         self.assertEqual(self.copies.epoch, 3)
         taken = self.copies.take()
-        self.assertEqual({name: text.pieces for name, text in taken.items()}, {"i": ["x", "y"]})
+        self.assertEqual({name: output.pieces for name, output in taken.items()}, {"i": ["x", "y"]})
 
-    def test_unreachable_successor_is_no_error(self):
+    def test_unreachable_successor_raises_no_error(self):
         self.network.silent.add("b")
-        self.texts["i"] = make_text("x")
+        self.outputs["i"] = make_output("x")
         self.sender.send_once()
         with self.assertRaises(RunkeelError) as caught:
             self.network.call("a", "b", 1, None)
