--- a/src/runkeel/quarantine/__init__.py
+++ b/src/runkeel/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps requests that crash the servers that run them away from further servers, on all nodes."""
+"""Quarantines requests that crash the servers that run them, on all nodes of the cluster."""
--- a/src/runkeel/quarantine/crash_ledger.py
+++ b/src/runkeel/quarantine/crash_ledger.py
@@ -1,4 +1,4 @@
-"""A node's table of the requests under which servers have ended; bounded in size and time."""
+"""A node's table of requests that servers crashed under, bounded in size and age."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 from loguru import logger
 
 from runkeel.clock import steady_seconds
-from runkeel.quarantine.crash_record import CrashRecord, merged
+from runkeel.quarantine.crash_record import CrashRecord, merge
 
 MAXIMUM_RECORDS = 1_024
-"""Most requests that are remembered, 620 bytes each (measured); what matters least goes first."""
+"""Maximum number of records; above it the record with the lowest retention priority is evicted."""
 
-SUSPECT_SECONDS = 600.0
-"""A request that is not held back is forgotten so long after the last server ended under it.
+SUSPECT_RETENTION_SECONDS = 600.0
+"""Retention of a request that is not quarantined, counted from its last crash.
 
-Clients come again within seconds; a long item of a batch job runs for 8 minutes.
+Longer than the retries of clients (seconds) and a long batch item (8 minutes).
 """
 
-HELD_SECONDS = 6 * 3600.0
-"""One that is held back is forgotten after so long: servers may run other software by then."""
+QUARANTINE_RETENTION_SECONDS = 6 * 3600.0
+"""Retention of a quarantined request; servers may run other software by then."""
 
-CLEARED_SECONDS = 60.0
-"""A clearance is remembered for so long, against older news that is still on its way."""
+CLEARANCE_RETENTION_SECONDS = 60.0
+"""Retention of a clearance, so that outdated updates still in transit do not undo it."""
 
 ChangeListener = Callable[[CrashRecord, CrashRecord | None, str], None]
-"""Called with a record that has changed, what it was before, and the node from which the news came;
-empty: this one.
+"""Called with a changed record, its previous version, and the node that sent the update (empty
+for a change made by this node).
 """
 
 
 class CrashLedger:
-    """The records of a node.
+    """The crash records known to a node.
 
     Args:
-        now: the steady clock.
-        maximum: records that are kept.
+        now: returns steady time in seconds.
+        maximum: maximum number of records.
 
     Attributes:
-        digest: number that is the same for ledgers that say the same.
+        digest: equal for ledgers with equal records.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
         return len(self._records)
 
     def on_change(self, listener: ChangeListener) -> None:
-        """Have a listener called with each record that changes."""
+        """Register a listener that is called with each changed record."""
         self._listeners.append(listener)
 
     def get(self, fingerprint: str) -> CrashRecord | None:
-        """Return what is known of a request, None for nothing."""
+        """Return the record of a request, or None if there is none or it has expired."""
         record = self._records.get(fingerprint)
         if record is not None and self._expired(record):
             self._forget(fingerprint)
@@ -67,21 +67,21 @@
         return record
 
     def records(self) -> list[CrashRecord]:
-        """Return all records; what is too old is forgotten."""
+        """Remove expired records and return the others."""
         for fingerprint in list(self._records):
             self.get(fingerprint)
         return list(self._records.values())
 
     def note_ended(self, fingerprint: str, service: str, incarnation: str) -> CrashRecord:
-        """Take note that a server ended under a request."""
+        """Record that a server crashed while it ran a request."""
         known = self.get(fingerprint) or CrashRecord(fingerprint, service)
         ended = CrashRecord(
             fingerprint, service, known.clearance, frozenset((incarnation,)), 0, 0, self._now()
         )
-        return self._put(merged(known, ended), "")
+        return self._put(merge(known, ended), "")
 
     def clear(self, fingerprint: str) -> bool:
-        """Forget the ends under a request, here and elsewhere; False where none are known."""
+        """Clear the crashes of a request on all nodes; returns False if none are recorded."""
         known = self.get(fingerprint)
         if known is None or not known.ended:
             return False
@@ -90,38 +90,38 @@
         return True
 
     def note_trial(self, fingerprint: str) -> None:
-        """Take note of a trial that was granted."""
+        """Record that a trial was granted."""
         known = self.get(fingerprint)
         if known is not None:
             self._put(replace(known, trials=known.trials + 1, changed_at=self._now()), "")
 
     def note_trial_returned(self, fingerprint: str) -> None:
-        """Take note that no server was reached by a trial."""
+        """Record that a granted trial reached no server."""
         known = self.get(fingerprint)
         if known is not None and known.trials_returned < known.trials:
             self._put(replace(known, trials_returned=known.trials_returned + 1), "")
 
     def take(self, record: CrashRecord, source: str) -> bool:
-        """Take another node's record; returns whether anything of it was new."""
+        """Merge another node's record; returns whether it changed this ledger."""
         known = self.get(record.fingerprint)
         if known is None:
             if self._expired(record):
                 return False
             self._put(record, source)
             return True
-        together = merged(known, record)
-        if together.same_as(known):
+        combined = merge(known, record)
+        if combined.same_content(known):
             return False
-        self._put(together, source)
+        self._put(combined, source)
         return True
 
     def _put(self, record: CrashRecord, source: str) -> CrashRecord:
         before = self._records.get(record.fingerprint)
         self._records[record.fingerprint] = record
-        # Carried on with each change: made anew it takes 21 ms at 1,024 records, at each pong.
+        # Updated incrementally, because every pong carries the digest.
         self.digest ^= record.digest ^ (0 if before is None else before.digest)
         if len(self._records) > self._maximum:
-            self._forget(min(self._records.values(), key=_worth).fingerprint)
+            self._forget(min(self._records.values(), key=_retention_priority).fingerprint)
         for listener in self._listeners:
             listener(record, before, source)
         return record
@@ -131,7 +131,7 @@
         self.digest ^= record.digest
         if record.held:
             logger.warning(
-                "request held back no more: it is forgotten",
+                "request released from quarantine: its record has expired or was evicted",
                 code="request_forgotten",
                 fingerprint=fingerprint,
                 service=record.service,
@@ -141,12 +141,14 @@
 
     def _expired(self, record: CrashRecord) -> bool:
         if not record.ended:
-            kept_for = CLEARED_SECONDS
+            retention_seconds = CLEARANCE_RETENTION_SECONDS
         else:
-            kept_for = HELD_SECONDS if record.held else SUSPECT_SECONDS
-        return self._now() - record.changed_at >= kept_for
+            retention_seconds = (
+                QUARANTINE_RETENTION_SECONDS if record.held else SUSPECT_RETENTION_SECONDS
+            )
+        return self._now() - record.changed_at >= retention_seconds
 
 
-def _worth(record: CrashRecord) -> tuple[bool, int, float]:
-    """Return the order in which records are given up where there are too many."""
+def _retention_priority(record: CrashRecord) -> tuple[bool, int, float]:
+    """Return the sort key for eviction; the record with the lowest key is evicted first."""
     return record.held, len(record.ended), record.changed_at
--- a/src/runkeel/quarantine/crash_record.py
+++ b/src/runkeel/quarantine/crash_record.py
@@ -1,7 +1,7 @@
-"""What is known of one request under which servers have ended; records of two nodes can be merged.
+"""Record of a request that servers crashed under, mergeable between nodes.
 
-A merged record is the same in whatever order, and however often, news come. Servers that ended are
-joined, counts of trials grow only, and a clearance replaces all that was known before it.
+Merging is commutative, associative and idempotent: sets of crashed servers are united, trial
+counters take their maximum, and a record with a higher clearance replaces older ones.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from runkeel.wire.generated.quarantine.ttypes import CrashNews
 
 ENDS_UNTIL_HELD = 3
-"""A request is held back once so many servers have ended under it.
+"""Number of servers that must crash under a request before it is quarantined.
 
-One that is innocent loses so many in a row by chance hardly ever, and a success clears it.
+A success clears the count, so unrelated crashes rarely add up to it.
 """
 
-MAXIMUM_ENDED = 16
-"""So many servers that ended are remembered by name; a request is held long before."""
+MAX_CRASHED_SERVERS = 16
+"""Maximum number of crashed servers listed in a record."""
 
 _DIGEST_BYTES = 7
-"""The sum of such digests fits a signed number of 64 bits on the wire."""
+"""Short enough that XORed record digests fit a signed 64-bit integer on the wire."""
 
 
 @dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """One request; it holds no key and nothing of the body.
+    """Crash record of one request; contains no API key and no part of the request body.
 
     Attributes:
-        clearance: how often the request was cleared, by a success or by an operator.
-        ended: ids of servers that ended under it since then.
-        trials: sends that were granted since it is held back.
-        trials_returned: of these, those by which no server was reached.
-        changed_at: steady time of the last end or trial that is known here.
+        clearance: number of times the request was cleared, by a success or by an operator.
+        ended: incarnations of the servers that crashed under it since the last clearance.
+        trials: number of trials granted since the last clearance.
+        trials_returned: number of granted trials that reached no server.
+        changed_at: steady time, in seconds, of the last known crash, clearance or granted trial.
     """
 
     fingerprint: str
@@ -46,35 +46,35 @@
 
     @property
     def held(self) -> bool:
-        """Whether the request is kept away from servers, but for trials."""
+        """Whether the request is quarantined: only trials are sent to servers."""
         return len(self.ended) >= ENDS_UNTIL_HELD
 
     @property
     def trials_used(self) -> int:
-        """Trials by which a server was reached, or may have been."""
+        """Number of trials that reached, or may have reached, a server."""
         return self.trials - self.trials_returned
 
     @property
     def digest(self) -> int:
-        """Number that is the same for records that say the same; ages are not part of it."""
+        """Digest of the record's content, excluding its age."""
         ended = ",".join(sorted(self.ended))
         text = f"{self.fingerprint} {self.clearance} {ended} {self.trials} {self.trials_returned}"
         return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).digest())
 
-    def same_as(self, other: CrashRecord | None) -> bool:
-        """Return whether another record says the same, ages aside."""
+    def same_content(self, other: CrashRecord | None) -> bool:
+        """Return whether another record has the same content, ignoring age."""
         return other is not None and self.digest == other.digest
 
 
-def merged(one: CrashRecord, other: CrashRecord) -> CrashRecord:
-    """Return what two records of one request say together."""
+def merge(one: CrashRecord, other: CrashRecord) -> CrashRecord:
+    """Merge two records of the same request."""
     if one.clearance != other.clearance:
         return max(one, other, key=lambda record: record.clearance)
     return CrashRecord(
         one.fingerprint,
         one.service or other.service,
         one.clearance,
-        frozenset(sorted(one.ended | other.ended)[:MAXIMUM_ENDED]),
+        frozenset(sorted(one.ended | other.ended)[:MAX_CRASHED_SERVERS]),
         max(one.trials, other.trials),
         max(one.trials_returned, other.trials_returned),
         max(one.changed_at, other.changed_at),
@@ -82,7 +82,7 @@
 
 
 def to_wire(record: CrashRecord, now: float) -> CrashNews:
-    """Return a record as it is sent; ``now`` is this node's steady time."""
+    """Encode a record for the wire; ``now`` is this node's steady time in seconds."""
     return CrashNews(
         record.fingerprint,
         record.service,
@@ -94,14 +94,14 @@
     )
 
 
-def from_wire(news: CrashNews, now: float) -> CrashRecord:
-    """Return a record as it was received; ``now`` is this node's steady time."""
+def from_wire(message: CrashNews, now: float) -> CrashRecord:
+    """Decode a record from the wire; ``now`` is this node's steady time in seconds."""
     return CrashRecord(
-        news.fingerprint,
-        news.service_name or "",
-        news.clearance or 0,
-        frozenset((news.ended_backends or [])[:MAXIMUM_ENDED]),
-        news.trials or 0,
-        news.trials_returned or 0,
-        now - (news.age_ms or 0) / 1000.0,
+        message.fingerprint,
+        message.service_name or "",
+        message.clearance or 0,
+        frozenset((message.ended_backends or [])[:MAX_CRASHED_SERVERS]),
+        message.trials or 0,
+        message.trials_returned or 0,
+        now - (message.age_ms or 0) / 1000.0,
     )
--- a/src/runkeel/quarantine/fingerprint.py
+++ b/src/runkeel/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""Tells whether two requests are the same one, whatever their ids, connections and nodes."""
+"""Request fingerprints, which identify a repeated request independent of its id and node."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from runkeel.api.backend_protocol import GenerationRequest, PlainRequest
 
 DIGEST_BYTES = 16
-"""Two of a thousand million requests share a digest of so many bytes by a chance of 1e-21."""
+"""The probability of any collision among 1e9 requests is about 1e-21."""
 
 _LENGTH_BYTES = 8
 
 
 class Fingerprinter:
-    """Makes fingerprints of requests: of caller, method, host, path with query, and body.
+    """Computes fingerprints from a request's tenant, method, host, path with query, and body.
 
-    A fingerprint is a keyed digest: it holds neither body nor key of the caller, and nobody outside
-    can make a request that has another one's. The caller is part of it, so that no tenant can have
-    another one's request held back.
+    A fingerprint is a keyed digest: it reveals neither the body nor the caller's key, and clients
+    cannot construct collisions. The tenant is included, so that no tenant can have another
+    tenant's request quarantined.
 
     Args:
-        secret: shared by the cluster's nodes, and the same after a restart.
+        secret: digest key, shared by all nodes of the cluster and stable across restarts.
     """
 
     def __init__(self, secret: bytes) -> None:
         self._key = hashlib.blake2b(secret).digest()
 
     def of_plain(self, request: PlainRequest) -> str:
-        """Return the fingerprint of a client's request or a scorer's call."""
+        """Return the fingerprint of a client request or scorer call."""
         return self._digest(
             request.tenant, request.method, request.host, request.target, request.body
         )
 
     def of_generation(self, request: GenerationRequest) -> str:
-        """Return the fingerprint of a run of a batch job's item."""
+        """Return the fingerprint of a run of a batch item."""
         return self.of_item(request.tenant, request.host, request.path, request.body)
 
     def of_item(self, tenant: str, host: str, path: str, body: bytes) -> str:
-        """Return the fingerprint of an item of a batch job: that of the request that runs it."""
+        """Return the fingerprint of a batch item, equal to that of the request that runs it."""
         return self._digest(tenant, "POST", host, path, body)
 
     def _digest(self, tenant: str, method: str, host: str, target: str, body: bytes) -> str:
--- a/src/runkeel/quarantine/gossip.py
+++ b/src/runkeel/quarantine/gossip.py
@@ -1,8 +1,9 @@
-"""Tells the neighbours what has changed in the ledger, until every node has heard of it.
+"""Propagates ledger changes to all nodes by gossip.
 
-Each node passes what is new to it on to its neighbours, so that news reach all nodes though the
-coordinator is gone, the store is away, or some nodes are. The cost grows with what changes, not
-with traffic. Nodes that have missed news are found by a digest in the coordinator's pongs.
+Each node forwards records that are new to it to its neighbours, so that updates spread even while
+the coordinator, the store or some nodes are unavailable. The cost grows with the number of
+changes, not with traffic. Nodes that missed updates are found by a digest in the coordinator's
+pongs.
 """
 
 from __future__ import annotations
@@ -20,38 +21,44 @@
 from runkeel.wire.generated.quarantine.ttypes import QuarantineNews, QuarantineNewsReply
 from runkeel.wire.network import PeerNetwork
 
-CALL_SECONDS = 0.5
-"""Longest wait for a neighbour's receipt."""
+CALL_TIMEOUT_SECONDS = 0.5
+"""Time-out of a call to another node."""
 
-RETRY_SECONDS = 0.2
-"""Pause before a neighbour that gave none is told again."""
+RETRY_DELAY_SECONDS = 0.2
+"""Delay before an update that a neighbour did not acknowledge is sent again."""
 
-GIVEN_UP_SECONDS = 12.0
-"""A neighbour that can't be told for so long is given up: the coordinator counts it no longer."""
+NEIGHBOUR_TIMEOUT_SECONDS = 12.0
+"""Updates for a neighbour that cannot be reached for this long are dropped.
 
-BATCH = 128
-"""Records in a message, 12.6 KB (measured); a full ledger goes out in eight."""
+By then the coordinator no longer counts it as a live node.
+"""
+
+MAX_BATCH_RECORDS = 128
+"""Maximum number of records per message."""
 
-MESSAGE_PAUSE_SECONDS = 0.1
-"""Pause after each message to a neighbour: 126 KB/s at the most, whatever ends at once.
+MIN_MESSAGE_INTERVAL_SECONDS = 0.1
+"""Pause after each message to a neighbour; bounds the bandwidth when many servers crash at once.
 
-What is forgotten meanwhile is not sent: a full ledger forgets most of what a zone's loss brings.
+Records that are evicted in the meantime are not sent.
 """
 
-DIFFERENT_SECONDS = 0.3
-"""Ledgers that differ for so long are exchanged: news on their way take less."""
+DIGEST_MISMATCH_SECONDS = 0.3
+"""Ledgers are exchanged if their digests still differ after this time.
 
-EXCHANGE_PAUSE_SECONDS = 5.0
-"""Least time between two exchanges: full ledgers may differ for good by what they left out."""
+Updates in transit arrive sooner.
+"""
+
+MIN_EXCHANGE_INTERVAL_SECONDS = 5.0
+"""Minimum time between two exchanges; full ledgers may differ permanently in what they evicted."""
 
 
 class QuarantineGossip:
-    """Spreads the records of a node's ledger.
+    """Sends changed records of a node's ledger to other nodes.
 
     Args:
-        neighbours: nodes that this one tells its news to.
-        coordinator: the coordinator, if that is another node; it is told at once of what this node
-            has found itself.
+        neighbours: nodes that this node sends updates to.
+        coordinator: the coordinator, if it is another node; it is notified directly of changes
+            made by this node.
     """
 
     def __init__(
@@ -67,93 +74,94 @@
         self._shard = shard
         self._ledger = ledger
         self._neighbours = neighbours
-        self._untold: dict[str, set[str]] = {}
-        """Fingerprints that a neighbour has still to be told of, by neighbour."""
-        self._senders: dict[str, gevent.Greenlet] = {}
-        self._exchanged_at = -EXCHANGE_PAUSE_SECONDS
+        self._pending: dict[str, set[str]] = {}
+        """Fingerprints of records still to be sent, by neighbour."""
+        self._send_tasks: dict[str, gevent.Greenlet] = {}
+        self._exchanged_at = -MIN_EXCHANGE_INTERVAL_SECONDS
         self._exchanging: gevent.Greenlet | None = None
         network.on_call(MessageType.QUARANTINE_NEWS, QuarantineNews, self._receive)
-        ledger.on_change(self._note)
+        ledger.on_change(self._on_record_changed)
 
     def stop(self) -> None:
-        """Tell no more."""
-        gevent.killall(list(self._senders.values()), block=False)
+        gevent.killall(list(self._send_tasks.values()), block=False)
         if self._exchanging is not None:
             self._exchanging.kill(block=False)
 
     def exchange(self, node_id: str) -> None:
-        """Tell another node everything and take all that it knows. Raises RunkeelError."""
+        """Send all records to another node and merge all of its records. Raises RunkeelError."""
         reply = self._call(node_id, self._ledger.records(), wants_all=True)
-        self._take(reply.records, node_id)
+        self._merge_records(reply.records, node_id)
 
     def note_digest(self, node_id: str, digest: int) -> None:
-        """Take the digest of another node's ledger; one that differs for long is exchanged."""
+        """Compare another node's digest with this ledger's and exchange if they stay different."""
         now = steady_seconds()
-        rested = now - self._exchanged_at >= EXCHANGE_PAUSE_SECONDS
-        if digest != self._ledger.digest and rested:
+        interval_elapsed = now - self._exchanged_at >= MIN_EXCHANGE_INTERVAL_SECONDS
+        if digest != self._ledger.digest and interval_elapsed:
             self._exchanged_at = now
             self._exchanging = gevent.spawn(self._exchange_if_different, node_id, digest)
 
     def _exchange_if_different(self, node_id: str, digest: int) -> None:
-        """Exchange ledgers, unless news that were on their way have made them the same."""
-        gevent.sleep(DIFFERENT_SECONDS)
+        """Exchange ledgers, unless updates in transit have made them equal."""
+        gevent.sleep(DIGEST_MISMATCH_SECONDS)
         if digest == self._ledger.digest:
-            self._exchanged_at = -EXCHANGE_PAUSE_SECONDS
+            self._exchanged_at = -MIN_EXCHANGE_INTERVAL_SECONDS
             return
         try:
             self.exchange(node_id)
         except RunkeelError as error:
             logger.info(
-                "ledgers differ and were not exchanged",
+                "crash ledgers differ; exchange failed",
                 code="quarantine_unexchanged",
                 peer=node_id,
                 error=str(error.code),
             )
         else:
             logger.info(
-                "ledgers differed and were exchanged", code="quarantine_exchanged", peer=node_id
+                "crash ledgers differed; exchanged", code="quarantine_exchanged", peer=node_id
             )
 
-    def _note(self, record: CrashRecord, before: CrashRecord | None, source: str) -> None:
+    def _on_record_changed(
+        self, record: CrashRecord, before: CrashRecord | None, source: str
+    ) -> None:
         coordinator = self._coordinator()
-        first = [coordinator] if coordinator is not None and not source else []
-        for neighbour in dict.fromkeys([*first, *self._neighbours()]):
+        priority = [coordinator] if coordinator is not None and not source else []
+        for neighbour in dict.fromkeys([*priority, *self._neighbours()]):
             if neighbour == source:
                 continue
-            untold = self._untold.setdefault(neighbour, set())
-            untold.add(record.fingerprint)
-            if len(untold) > 2 * MAXIMUM_RECORDS:
-                untold.intersection_update({one.fingerprint for one in self._ledger.records()})
-            if neighbour not in self._senders:
-                self._senders[neighbour] = gevent.spawn(self._tell, neighbour)
-
-    def _tell(self, neighbour: str) -> None:
-        """Tell a neighbour until it knows all that is new."""
+            pending = self._pending.setdefault(neighbour, set())
+            pending.add(record.fingerprint)
+            if len(pending) > 2 * MAXIMUM_RECORDS:
+                pending.intersection_update({one.fingerprint for one in self._ledger.records()})
+            if neighbour not in self._send_tasks:
+                self._send_tasks[neighbour] = gevent.spawn(self._send_pending, neighbour)
+
+    def _send_pending(self, neighbour: str) -> None:
+        """Send pending records to a neighbour until none are left."""
         failing_since = 0.0
         try:
-            while untold := self._untold.get(neighbour):
-                batch = [untold.pop() for _ in range(min(BATCH, len(untold)))]
+            while pending := self._pending.get(neighbour):
+                batch = [pending.pop() for _ in range(min(MAX_BATCH_RECORDS, len(pending)))]
                 records = [one for name in batch if (one := self._ledger.get(name)) is not None]
                 if not records:
                     continue
                 try:
                     self._call(neighbour, records)
                     failing_since = 0.0
-                    gevent.sleep(MESSAGE_PAUSE_SECONDS)
+                    gevent.sleep(MIN_MESSAGE_INTERVAL_SECONDS)
                 except RunkeelError as error:
                     failing_since = failing_since or steady_seconds()
-                    if steady_seconds() - failing_since > GIVEN_UP_SECONDS:
-                        self._give_up(neighbour, error)
+                    if steady_seconds() - failing_since > NEIGHBOUR_TIMEOUT_SECONDS:
+                        self._log_neighbour_timeout(neighbour, error)
                         return
-                    untold.update(batch)
-                    gevent.sleep(RETRY_SECONDS)
+                    pending.update(batch)
+                    gevent.sleep(RETRY_DELAY_SECONDS)
         finally:
-            self._untold.pop(neighbour, None)
-            self._senders.pop(neighbour, None)
+            self._pending.pop(neighbour, None)
+            self._send_tasks.pop(neighbour, None)
 
-    def _give_up(self, neighbour: str, error: RunkeelError) -> None:
+    def _log_neighbour_timeout(self, neighbour: str, error: RunkeelError) -> None:
         logger.info(
-            "neighbour not told of requests under which servers ended",
+            "neighbour unreachable; pending crash records dropped",
             code="quarantine_untold",
             peer=neighbour,
             error=str(error.code),
@@ -167,17 +175,17 @@
             self._shard, [to_wire(record, now) for record in records], wants_all
         )
         return self._network.call(
-            node_id, MessageType.QUARANTINE_NEWS, message, QuarantineNewsReply, CALL_SECONDS
+            node_id, MessageType.QUARANTINE_NEWS, message, QuarantineNewsReply, CALL_TIMEOUT_SECONDS
         )
 
     def _receive(self, peer: str, message: QuarantineNews) -> tuple[int, QuarantineNewsReply]:
-        self._take(message.records, peer)
+        self._merge_records(message.records, peer)
         now = steady_seconds()
         known = self._ledger.records() if message.wants_all else []
         reply = QuarantineNewsReply([to_wire(record, now) for record in known])
         return MessageType.QUARANTINE_NEWS_REPLY, reply
 
-    def _take(self, news: list, source: str) -> None:
+    def _merge_records(self, messages: list, source: str) -> None:
         now = steady_seconds()
-        for one in news:
+        for one in messages:
             self._ledger.take(from_wire(one, now), source)
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -1,7 +1,7 @@
-"""Whether a request may be sent to servers, and what came of it; one for all kinds of requests.
+"""Decides whether a request may be sent to servers and records the outcome of each attempt.
 
-Each way on which work reaches servers (attempts, retries, hedges, streams and their continuation,
-items of batch jobs, calls of scorers) watches its request by a :class:`WatchedRequest`.
+Every path to the servers (attempts, retries, hedges, streams and their continuation, batch items,
+scorer calls) tracks its request with a :class:`WatchedRequest`.
 """
 
 from __future__ import annotations
@@ -19,67 +19,74 @@
 from runkeel.quarantine.crash_ledger import MAXIMUM_RECORDS, CrashLedger
 from runkeel.quarantine.crash_record import CrashRecord
 from runkeel.quarantine.fingerprint import Fingerprinter
-from runkeel.quarantine.server_ends import EndEvidence, LostConnection, ServerEnds
+from runkeel.quarantine.server_ends import CrashDetector, CrashEvidence, LostConnection
 from runkeel.quarantine.trials import BUSY_RETRY_SECONDS, TrialAnswer
 
 TRIAL_WAIT_SECONDS = 0.3
-"""A request waits so long while another one of its service is on trial; most take less."""
+"""Maximum wait of a request while another one of its service is on trial."""
 
-LONGEST_DENIAL_SECONDS = 5.0
-"""A node asks again after so long at the latest: an operator may have let the request go, or the
-coordinator that denied it may have been replaced.
+MAX_DENIAL_CACHE_SECONDS = 5.0
+"""Maximum time for which a denied trial is cached.
+
+In the meantime an operator may have released the request, or the coordinator may have been
+replaced.
 """
 
-_SILENCES = (ErrorCode.DEADLINE_EXCEEDED, ErrorCode.CANCELLED)
-"""Nothing was heard until the attempt was given up; its server may have ended meanwhile."""
+_NO_RESPONSE_CODES = (ErrorCode.DEADLINE_EXCEEDED, ErrorCode.CANCELLED)
+"""Failures of attempts that were abandoned without a response; the server may have crashed."""
 
-_CONNECTION_LOSSES = (ErrorCode.BACKEND_LOST, ErrorCode.TRUNCATED_ANSWER)
+_CONNECTION_LOSS_CODES = (ErrorCode.BACKEND_LOST, ErrorCode.TRUNCATED_ANSWER)
 
 TrialAsker = Callable[[CrashRecord], TrialAnswer]
-"""Asks the coordinator whether one send of a request that is held back is granted."""
+"""Asks the coordinator to grant a trial, one send of a quarantined request."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Denial:
-    """A trial that was not granted for a record with this digest.
+    """A cached denial of a trial, valid for a record with this digest.
 
     Attributes:
-        until: steady time from which on it is asked for again.
-        retry_at: steady time at which it may be granted, as the coordinator said.
+        until: steady time in seconds at which the denial expires.
+        retry_at: steady time in seconds at which a trial may be granted.
     """
 
     digest: int
-    until: float
+    expires_at: float
     retry_at: float
 
 
 class Quarantine:
-    """A node's view of the requests under which servers have ended.
+    """A node's view of the requests that servers crashed under.
 
     Args:
-        secret: for fingerprints; shared by the cluster's nodes.
-        ask_trial: asks for a send of a request that is held back.
+        secret: fingerprint key shared by the cluster's nodes.
+        ask_trial: asks the coordinator for a trial.
     """
 
     def __init__(self, secret: bytes, ask_trial: TrialAsker) -> None:
         self.fingerprints = Fingerprinter(secret)
         self.ledger = CrashLedger()
-        self.ends = ServerEnds(self._ended)
+        self.ends = CrashDetector(self._on_server_crashed)
         self._ask_trial = ask_trial
         self._denials: dict[str, _Denial] = {}
-        self.ledger.on_change(self._changed)
+        self.ledger.on_change(self._on_record_changed)
 
     def watch(self, identify: Callable[[], str], service: str, request_id: str) -> WatchedRequest:
-        """Return the watch over one client attempt, or one run.
+        """Start tracking one client attempt or one run of a batch item.
 
         Args:
-            identify: makes the request's fingerprint; called only where any request is suspected,
-                so that the digest of each body isn't paid for.
+            identify: computes the request's fingerprint; called only when needed, to avoid hashing
+                every body.
         """
         return WatchedRequest(self, identify, service, request_id)
 
     def ask(self, record: CrashRecord, wait_seconds: float) -> TrialAnswer:
-        """Ask for one send; waits a little while another request of the service is on trial."""
+        """Ask for a trial, waiting for up to ``wait_seconds`` while the service is busy with one.
+
+        Args:
+            record: the request's record.
+            wait_seconds: maximum wait while another request of the service is on trial.
+        """
         deadline = steady_seconds() + wait_seconds
         while True:
             answer = self._ask_once(record)
@@ -89,27 +96,27 @@
             gevent.sleep(answer.retry_after_seconds)
 
     def _ask_once(self, record: CrashRecord) -> TrialAnswer:
-        """Ask, unless a denial still holds: the coordinator's load must not grow with traffic."""
+        """Ask, unless a cached denial applies; keeps coordinator load independent of traffic."""
         now = steady_seconds()
         denial = self._denials.get(record.fingerprint)
-        if denial is not None and now < denial.until and denial.digest == record.digest:
+        if denial is not None and now < denial.expires_at and denial.digest == record.digest:
             return TrialAnswer(False, max(0.0, denial.retry_at - now))
         answer = self._ask_trial(record)
         if answer.granted:
             self._denials.pop(record.fingerprint, None)
             return answer
-        until = now + min(answer.retry_after_seconds, LONGEST_DENIAL_SECONDS)
+        expires_at = now + min(answer.retry_after_seconds, MAX_DENIAL_CACHE_SECONDS)
         retry_at = now + answer.retry_after_seconds
-        self._denials[record.fingerprint] = _Denial(record.digest, until, retry_at)
+        self._denials[record.fingerprint] = _Denial(record.digest, expires_at, retry_at)
         if len(self._denials) > MAXIMUM_RECORDS:
             self._denials.pop(next(iter(self._denials)))
         return answer
 
-    def _ended(self, lost: LostConnection, evidence: EndEvidence) -> None:
+    def _on_server_crashed(self, lost: LostConnection, evidence: CrashEvidence) -> None:
         SERVERS_ENDED.labels(lost.service, str(evidence)).inc()
         record = self.ledger.note_ended(lost.fingerprint, lost.service, lost.state.incarnation)
         logger.warning(
-            "server ended under a request",
+            "server crashed while running a request",
             code="server_ended",
             request=lost.request_id,
             fingerprint=lost.fingerprint,
@@ -120,12 +127,14 @@
             age_ms=int((steady_seconds() - lost.lost_at) * 1000),
         )
 
-    def _changed(self, record: CrashRecord, before: CrashRecord | None, source: str) -> None:
+    def _on_record_changed(
+        self, record: CrashRecord, before: CrashRecord | None, source: str
+    ) -> None:
         QUARANTINE_RECORDS.set(len(self.ledger))
         if record.held == (before is not None and before.held):
             return
         logger.warning(
-            "request held back" if record.held else "request held back no more",
+            "request quarantined" if record.held else "request released from quarantine",
             code="request_held" if record.held else "request_released",
             fingerprint=record.fingerprint,
             service=record.service,
@@ -139,7 +148,7 @@
     """One client attempt or run of a request; see :class:`Quarantine`.
 
     Attributes:
-        on_trial: only one send is allowed, and it was granted by the coordinator.
+        on_trial: whether the coordinator has granted a trial that is not used yet.
     """
 
     __slots__ = ("_fingerprint", "_identify", "_quarantine", "_request_id", "_service", "on_trial")
@@ -160,27 +169,30 @@
 
     @property
     def fingerprint(self) -> str:
-        """The request's fingerprint."""
+        """The request's fingerprint, computed on first use."""
         if not self._fingerprint:
             self._fingerprint = self._identify()
         return self._fingerprint
 
     @property
     def suspected(self) -> bool:
-        """Whether a server has ended under the request, and no success has cleared it."""
+        """Whether a server has crashed under the request since it was last cleared."""
         record = self._record()
         return record is not None and bool(record.ended)
 
     @property
     def held(self) -> bool:
-        """Whether the request is kept away from servers."""
+        """Whether the request is quarantined."""
         record = self._record()
         return record is not None and record.held
 
     def admit(self) -> None:
-        """Call before the first send. Raises REQUEST_QUARANTINED (NOT_RUN) if there must be none.
+        """Check before the first send that the request may be sent.
+
+        A quarantined request needs a trial granted by the coordinator.
 
-        A request that is held back gets one send if the coordinator grants it.
+        Raises:
+            RunkeelError: REQUEST_QUARANTINED (NOT_RUN) if the request must not be sent.
         """
         if self.on_trial or not self.held:
             return
@@ -189,44 +201,44 @@
             QUARANTINE_REFUSALS.labels(self._service).inc()
             raise not_run(
                 ErrorCode.REQUEST_QUARANTINED,
-                f"servers ended under this request, its fingerprint is {self.fingerprint}",
+                f"request quarantined after server crashes, fingerprint {self.fingerprint}",
                 answer.retry_after_seconds,
             )
 
     def ask_trial(self, wait_seconds: float = 0.0) -> TrialAnswer:
-        """Ask for one send of a request that is held back.
+        """Ask for a trial of a quarantined request.
 
         Args:
-            wait_seconds: longest wait while another request of the service is on trial.
+            wait_seconds: maximum wait while another request of the service is on trial.
         """
         answer = self._quarantine.ask(self._record(), wait_seconds)
         self.on_trial = answer.granted
         return answer
 
     def lost(self, state: BackendState, error: RunkeelError) -> None:
-        """Take note of an attempt without a whole answer; returns once its cause was looked for."""
+        """Record an attempt that got no complete response; may block to probe the server."""
         if error.verdict is Verdict.NOT_RUN:
             return
         self.note_reached()
-        silent = error.code in _SILENCES
-        if error.code not in _CONNECTION_LOSSES and not silent:
+        no_response = error.code in _NO_RESPONSE_CODES
+        if error.code not in _CONNECTION_LOSS_CODES and not no_response:
             return
         lost = LostConnection(
             self._request_id, self.fingerprint, self._service, state, steady_seconds()
         )
-        self._quarantine.ends.judge(lost, probe=not silent)
+        self._quarantine.ends.judge(lost, probe=not no_response)
 
     def succeeded(self) -> None:
-        """Take note of a whole answer: the request is innocent."""
+        """Record a complete response, which clears the request."""
         if self.suspected:
             self._quarantine.ledger.clear(self.fingerprint)
 
     def note_reached(self) -> None:
-        """Take note that a server got the request: a trial is used up by it."""
+        """Record that a server received the request, which uses up a granted trial."""
         self.on_trial = False
 
     def return_trial(self) -> None:
-        """Take note that no server was reached by the trial."""
+        """Return a granted trial that reached no server."""
         if self.on_trial:
             self.on_trial = False
             self._quarantine.ledger.note_trial_returned(self.fingerprint)
--- a/src/runkeel/quarantine/record_keeper.py
+++ b/src/runkeel/quarantine/record_keeper.py
@@ -1,6 +1,6 @@
-"""Keeps records in the store, so that they outlast a restart of all nodes.
+"""Persists crash records in the document store, so that they survive a restart of all nodes.
 
-The coordinator alone writes: one document of all records that count. Nodes read it when they start.
+Only the coordinator writes, and it writes one document. Nodes read it when they start.
 """
 
 from __future__ import annotations
@@ -25,20 +25,24 @@
 from runkeel.quarantine.crash_ledger import CrashLedger
 from runkeel.quarantine.crash_record import CrashRecord
 
-KEPT_FROM_ENDS = 2
-"""Records are kept from so many ends on. A single end is forgotten with a restart of all nodes, so
-that a burst of crashes by chance, with each request at those servers a suspect, costs no writes.
+MIN_STORED_CRASHES = 2
+"""Minimum number of crashes for a record to be stored.
+
+Records with a single crash are not stored, because a crash of a server adds one for every request
+in flight there.
 """
 
-KEPT_RECORDS = 256
-"""Most records in the document, 40 KB; those with the most ends."""
+MAX_STORED_RECORDS = 256
+"""Maximum number of records in the document; those with the most crashes are stored."""
+
+COALESCE_SECONDS = 0.05
+"""Delay before a write, to combine changes that happen together."""
 
-GATHER_SECONDS = 0.05
-WRITE_PAUSE_SECONDS = 0.5
-"""News are gathered for a moment; two writes are so far apart at least."""
+MIN_WRITE_INTERVAL_SECONDS = 0.5
+"""Minimum pause between two writes."""
 
-RETRY_SECONDS = 0.5
-"""Pause before a write that failed is tried again."""
+RETRY_DELAY_SECONDS = 0.5
+"""Delay before a failed write is retried."""
 
 
 def read_records(
@@ -47,72 +51,73 @@
     ledger: CrashLedger,
     timeout_seconds: float = CALL_TIMEOUT_SECONDS,
 ) -> Document | None:
-    """Take the records that the store keeps. Raises RunkeelError when it gives no answer."""
+    """Merge the stored records into a ledger. Raises RunkeelError if the store does not respond."""
     document = store.get(DocumentKind.QUARANTINE, shard, timeout_seconds)
     if document is not None:
-        _take(document, ledger)
+        _merge_document(document, ledger)
     return document
 
 
-class RecordKeeper:
-    """One task of a coordinator's term that keeps the store's document up to date."""
+class CrashRecordWriter:
+    """Task that keeps the stored document up to date during a coordinator's term."""
 
     def __init__(self, store: DocumentStore, shard: str, ledger: CrashLedger) -> None:
         self._store = store
         self._shard = shard
         self._ledger = ledger
-        self._changed = Event()
-        self._written: set[int] = set()
-        """Digests of the records in the document."""
+        self._change_pending = Event()
+        self._stored_digests: set[int] = set()
+        """Digests of the records in the stored document."""
         self._task = BackgroundTask(self._run)
-        ledger.on_change(self._note)
+        ledger.on_change(self._on_record_changed)
 
     def start(self) -> None:
-        """Start to keep records; those that the store has are taken first."""
-        self._changed.set()
+        """Start the task; it first merges the stored records into the ledger."""
+        self._change_pending.set()
         self._task.start()
 
     def stop(self) -> None:
-        """Keep no more."""
         self._task.stop()
 
-    def _note(self, record: CrashRecord, before: CrashRecord | None, source: str) -> None:
-        self._changed.set()
+    def _on_record_changed(
+        self, record: CrashRecord, before: CrashRecord | None, source: str
+    ) -> None:
+        self._change_pending.set()
 
     def _run(self) -> None:
         document = None
-        known = False
+        loaded = False
         while True:
-            self._changed.wait()
-            gevent.sleep(GATHER_SECONDS)
-            self._changed.clear()
+            self._change_pending.wait()
+            gevent.sleep(COALESCE_SECONDS)
+            self._change_pending.clear()
             try:
-                if not known:
+                if not loaded:
                     document = self._read()
-                    known = True
+                    loaded = True
                 document = self._write(document)
-                gevent.sleep(WRITE_PAUSE_SECONDS)
+                gevent.sleep(MIN_WRITE_INTERVAL_SECONDS)
             except RunkeelError as error:
-                known = False
-                self._changed.set()
+                loaded = False
+                self._change_pending.set()
                 logger.info(
-                    "records of requests under which servers ended not written yet",
+                    "crash records not written yet",
                     code="quarantine_unwritten",
                     error=str(error.code),
                 )
-                gevent.sleep(RETRY_SECONDS)
+                gevent.sleep(RETRY_DELAY_SECONDS)
 
     def _read(self) -> Document | None:
         document = read_records(self._store, self._shard, self._ledger)
         content = document.content if document is not None else {}
-        self._written = {one.digest for one in _records(content)}
+        self._stored_digests = {one.digest for one in _records(content)}
         return document
 
     def _write(self, document: Document | None) -> Document | None:
-        """Write what has changed; returns the document as it is now."""
-        records = self._kept()
+        """Write the records if they have changed; returns the current document."""
+        records = self._stored_records()
         digests = {one.digest for one in records}
-        if digests == self._written:
+        if digests == self._stored_digests:
             return document
         content = {"records": [_encode(one) for one in records]}
         try:
@@ -123,38 +128,38 @@
                     DocumentKind.QUARANTINE, self._shard, content, document.revision
                 )
         except DocumentConflictError as conflict:
-            # A coordinator before, or an unanswered write of this one, came first.
+            # A previous coordinator's write, or an unacknowledged one of this node, came first.
             if conflict.current is not None:
-                _take(conflict.current, self._ledger)
+                _merge_document(conflict.current, self._ledger)
             raise
-        self._written = digests
+        self._stored_digests = digests
         logger.info(
-            "records of requests under which servers ended written",
+            "crash records written",
             code="quarantine_written",
             records=len(records),
             revision=document.revision,
         )
         return document
 
-    def _kept(self) -> list[CrashRecord]:
-        kept = [one for one in self._ledger.records() if len(one.ended) >= KEPT_FROM_ENDS]
-        kept.sort(key=lambda one: (len(one.ended), one.changed_at), reverse=True)
-        return kept[:KEPT_RECORDS]
+    def _stored_records(self) -> list[CrashRecord]:
+        selected = [one for one in self._ledger.records() if len(one.ended) >= MIN_STORED_CRASHES]
+        selected.sort(key=lambda one: (len(one.ended), one.changed_at), reverse=True)
+        return selected[:MAX_STORED_RECORDS]
 
 
-def _take(document: Document, ledger: CrashLedger) -> None:
+def _merge_document(document: Document, ledger: CrashLedger) -> None:
     for record in _records(document.content):
         ledger.take(record, "")
 
 
 def _records(content: Any) -> list[CrashRecord]:
-    """Return a document's records; one that can't be read is left out."""
+    """Return the records of a document, skipping malformed ones."""
     records = []
     for one in content.get("records", ()):
         try:
             records.append(_decode(one))
         except (KeyError, TypeError, ValueError) as error:
-            logger.warning("record not understood", code="bad_record", error=repr(error))
+            logger.warning("malformed crash record skipped", code="bad_record", error=repr(error))
     return records
 
 
--- a/src/runkeel/quarantine/server_ends.py
+++ b/src/runkeel/quarantine/server_ends.py
@@ -1,8 +1,9 @@
-"""Finds out whether a server has ended under a request, or only a connection to it.
+"""Determines whether a lost connection was caused by a crash of its server.
 
-A connection that breaks proves nothing: resets, cuts and lost answers break it too. The server has
-ended if nobody listens at its address any more, if another one does, if it has started anew under
-its id, or if its entry goes without a word of draining while nothing was heard of it.
+A broken connection alone is no evidence: resets, network partitions and lost responses break it
+too. A server counts as crashed if its address refuses connections, if another server has its
+address, or if it restarted under its id or its entry was removed while it was not draining.
+Evidence found later counts only if the server has not responded since the connection was lost.
 """
 
 from __future__ import annotations
@@ -19,38 +20,36 @@
 from runkeel.clock import steady_seconds
 from runkeel.gateway.backends import BackendState
 
-PROBE_SECONDS = 0.1
-"""Longest wait for a new connection to a server that may have ended.
+PROBE_TIMEOUT_SECONDS = 0.1
+"""Connect time-out when probing a server that may have crashed; retries wait for the probe."""
 
-On the users' platform it comes about, or is refused, within 3 ms. Repetitions wait for it.
-"""
-
-DOUBT_SECONDS = 10.0
-"""A lost connection is explained by news of its server that come within so long.
+UNEXPLAINED_LOSS_SECONDS = 10.0
+"""How long a lost connection waits for later evidence about its server.
 
-Entries of servers that crash go after three heartbeats, 3.6 s, and news of it come 2 s later.
+Must exceed the time until the entry of a crashed server expires (3.6 s) and nodes learn of it
+(about 2 s).
 """
 
-MAXIMUM_DOUBTS = 1_024
-"""Lost connections whose cause is not known yet; the oldest are given up first."""
+MAX_UNEXPLAINED_LOSSES = 1_024
+"""Maximum number of lost connections of unknown cause; the oldest are dropped first."""
 
 
-class EndEvidence(enum.StrEnum):
-    """What showed that a server has ended."""
+class CrashEvidence(enum.StrEnum):
+    """Evidence that a server has crashed."""
 
     REFUSED = "refused"
-    """Nobody listens at its address."""
+    """Its address refused a connection."""
     REPLACED = "replaced"
     """Another server has its address."""
     RESTARTED = "restarted"
-    """It has started anew under its id."""
+    """It has restarted under its id."""
     GONE = "gone"
-    """Its entry has gone, and it never said that it drains."""
+    """Its entry was removed while it was not draining."""
 
 
 @dataclass(frozen=True, slots=True)
 class LostConnection:
-    """A connection that broke while a server ran a request."""
+    """A connection lost while a server ran a request; ``lost_at`` is steady time in seconds."""
 
     request_id: str
     fingerprint: str
@@ -59,80 +58,77 @@
     lost_at: float
 
 
-EndListener = Callable[[LostConnection, EndEvidence], None]
-"""Called with each connection that broke as its server ended."""
+CrashListener = Callable[[LostConnection, CrashEvidence], None]
+"""Called with each connection that was lost because its server crashed."""
 
 
-class ServerEnds:
-    """Judges lost connections, at once or by later news of their servers."""
+class CrashDetector:
+    """Classifies lost connections, immediately or by later evidence about their servers."""
 
-    def __init__(self, on_ended: EndListener) -> None:
-        self._on_ended = on_ended
-        self._doubts: deque[LostConnection] = deque(maxlen=MAXIMUM_DOUBTS)
+    def __init__(self, on_crash: CrashListener) -> None:
+        self._on_crash = on_crash
+        self._unexplained: deque[LostConnection] = deque(maxlen=MAX_UNEXPLAINED_LOSSES)
 
     def judge(self, lost: LostConnection, probe: bool = True) -> None:
-        """Find out what broke a connection; waits for :data:`PROBE_SECONDS` at the longest.
+        """Classify a lost connection; blocks for at most :data:`PROBE_TIMEOUT_SECONDS`.
 
         Args:
-            probe: False where nothing broke, and the server was only silent.
+            probe: whether to probe the server; False if it only did not respond in time.
         """
         if lost.state.replaced:
             if not lost.state.backend.draining:
-                self._on_ended(lost, EndEvidence.RESTARTED)
+                self._on_crash(lost, CrashEvidence.RESTARTED)
             return
         if lost.state.ended:
-            self._on_ended(lost, EndEvidence.REFUSED)
+            self._on_crash(lost, CrashEvidence.REFUSED)
             return
-        reached = lost.state.pool.probe(PROBE_SECONDS) if probe else Reachability.UNKNOWN
+        reached = lost.state.pool.probe(PROBE_TIMEOUT_SECONDS) if probe else Reachability.UNKNOWN
         if reached is Reachability.REFUSED:
             lost.state.note_ended()
-            self._on_ended(lost, EndEvidence.REFUSED)
+            self._on_crash(lost, CrashEvidence.REFUSED)
             return
         logger.info(
-            "connection lost, its server has not ended as far as is known",
+            "connection lost, no evidence yet that its server crashed",
             code="server_doubted",
             request=lost.request_id,
             fingerprint=lost.fingerprint,
             backend=lost.state.incarnation,
             reached=str(reached),
         )
-        self._doubts.append(lost)
+        self._unexplained.append(lost)
 
     def backend_joined(self, backend: Backend) -> None:
-        """Take the news of a server: whoever had its address before has ended."""
-        if self._doubts:
-            self._settle(
+        """Handle a new server: any server that had its address before has crashed."""
+        if self._unexplained:
+            self._resolve(
                 lambda state: (
                     state.incarnation != backend.incarnation
                     and state.backend.address == backend.address
                 ),
-                EndEvidence.REPLACED,
+                CrashEvidence.REPLACED,
             )
 
     def address_taken(self, state: BackendState) -> None:
-        """Take note that another server answered at a server's address."""
-        if self._doubts:
-            self._settle(lambda doubted: doubted is state, EndEvidence.REPLACED)
+        """Handle a response from another server at the address of ``state``."""
+        if self._unexplained:
+            self._resolve(lambda candidate: candidate is state, CrashEvidence.REPLACED)
 
     def backend_restarted(self, state: BackendState) -> None:
-        """Take the news that a server has started anew: what ran at its last start has ended.
-
-        One that drained before has ended as planned.
-        """
-        if self._doubts and not state.backend.draining:
-            self._settle(lambda doubted: doubted is state, EndEvidence.RESTARTED)
+        """Handle a restart of a server: its previous process crashed unless it was draining."""
+        if self._unexplained and not state.backend.draining:
+            self._resolve(lambda candidate: candidate is state, CrashEvidence.RESTARTED)
 
     def backend_gone(self, state: BackendState) -> None:
-        """Take the news that a server's entry has gone."""
-        if self._doubts and not state.backend.draining:
-            self._settle(lambda doubted: doubted is state, EndEvidence.GONE)
-
-    def _settle(self, concerned: Callable[[BackendState], bool], evidence: EndEvidence) -> None:
-        oldest = steady_seconds() - DOUBT_SECONDS
-        doubts = [lost for lost in self._doubts if lost.lost_at > oldest]
-        self._doubts.clear()
-        for lost in doubts:
-            if not concerned(lost.state):
-                self._doubts.append(lost)
+        """Handle the removal of a server's entry."""
+        if self._unexplained and not state.backend.draining:
+            self._resolve(lambda candidate: candidate is state, CrashEvidence.GONE)
+
+    def _resolve(self, matches: Callable[[BackendState], bool], evidence: CrashEvidence) -> None:
+        oldest = steady_seconds() - UNEXPLAINED_LOSS_SECONDS
+        pending = [lost for lost in self._unexplained if lost.lost_at > oldest]
+        self._unexplained.clear()
+        for lost in pending:
+            if not matches(lost.state):
+                self._unexplained.append(lost)
             elif lost.state.answered_at < lost.lost_at:
-                self._on_ended(lost, evidence)
+                self._on_crash(lost, evidence)
--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -1,4 +1,4 @@
-"""Joins a node's parts of the quarantine: its ledger, the news, the trials and the store."""
+"""Connects a node's quarantine to gossip, trials and the document store."""
 
 from __future__ import annotations
 
@@ -17,45 +17,44 @@
 from runkeel.quarantine.crash_record import CrashRecord, from_wire, to_wire
 from runkeel.quarantine.gossip import QuarantineGossip
 from runkeel.quarantine.quarantine import Quarantine
-from runkeel.quarantine.record_keeper import RecordKeeper, read_records
-from runkeel.quarantine.trials import NOBODY_RETRY_SECONDS, TrialAnswer, TrialArbiter
+from runkeel.quarantine.record_keeper import CrashRecordWriter, read_records
+from runkeel.quarantine.trials import NO_COORDINATOR_RETRY_SECONDS, TrialAnswer, TrialArbiter
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.quarantine.ttypes import TrialReply, TrialRequest
 from runkeel.wire.network import PeerNetwork
 
-TRIAL_CALL_SECONDS = 0.3
-"""Longest wait for the coordinator's word on a trial."""
+TRIAL_CALL_TIMEOUT_SECONDS = 0.3
+"""Time-out of a call that asks the coordinator for a trial."""
 
 CATCH_UP_SECONDS = 1.5
-"""A node that starts and knows routes and servers serves after so long though it was not told which
-requests are held back. Who told it the routes tells that as well, within some milliseconds.
+"""A starting node that knows routes and servers for this long serves requests even if it has not
+received the crash records. They normally arrive within milliseconds after the routes.
 """
 
-CATCH_UP_CHECK_SECONDS = 0.02
-"""So often it is looked whether either is known. Chosen, not measured."""
+CATCH_UP_POLL_SECONDS = 0.02
+"""Polling interval while catching up."""
 
-CATCH_UP_CALL_SECONDS = 0.5
-CATCH_UP_RETRY_SECONDS = (0.05, 1.0)
-"""Longest wait for the store's answer then, and the first and the longest pause before the next.
+CATCH_UP_CALL_TIMEOUT_SECONDS = 0.5
+"""Time-out of reading the store while catching up."""
 
-Pauses double: in an outage each question has its price.
-"""
+CATCH_UP_BACKOFF_SECONDS = (0.05, 1.0)
+"""Initial and maximum delay between attempts to catch up; the delay doubles."""
 
 
 class QuarantineService:
     """One node's quarantine.
 
     Args:
-        secret: shared by the cluster's nodes.
+        secret: fingerprint key shared by the cluster's nodes.
         coordinator: the coordinator as this node knows it; None when that is this node.
-        neighbours: nodes that this one tells its news to.
-        coordinates: whether this node decides on trials.
+        neighbours: nodes that this node sends updates to.
+        coordinates: whether this node is the coordinator, which decides on trials.
         directory: the servers that this node knows.
         knows_routes: whether this node knows a configuration and the servers.
 
     Attributes:
-        caught_up: set once this node knows what others knew before it started, or has known the
-            routes for :data:`CATCH_UP_SECONDS` without being told.
+        caught_up: set once this node has the crash records of the other nodes, or has known the
+            routes for :data:`CATCH_UP_SECONDS` without receiving them.
     """
 
     def __init__(
@@ -79,11 +78,11 @@
         self.quarantine = Quarantine(secret, self._ask_trial)
         ledger = self.quarantine.ledger
         self._directory = directory
-        ledger.on_change(self._leave_ended)
+        ledger.on_change(self._mark_crashed_servers)
         self._arbiter = TrialArbiter(ledger)
-        self._keeper = RecordKeeper(store, shard, ledger)
+        self._record_writer = CrashRecordWriter(store, shard, ledger)
         self.gossip = QuarantineGossip(
-            network, shard, ledger, neighbours, lambda: _name(self._coordinator())
+            network, shard, ledger, neighbours, lambda: _node_id(self._coordinator())
         )
         self._task: gevent.Greenlet | None = None
         self.caught_up = Event()
@@ -93,7 +92,8 @@
         """Catch up with the other nodes.
 
         Args:
-            first_start: the whole system starts for the first time: there is nothing to know.
+            first_start: whether the whole system starts for the first time, so that no records
+                exist.
         """
         if first_start:
             self.caught_up.set()
@@ -101,33 +101,34 @@
             self._task = gevent.spawn(self._catch_up)
 
     def stop(self) -> None:
-        """End the tasks."""
         if self._task is not None:
             self._task.kill(block=False)
-        self._keeper.stop()
+        self._record_writer.stop()
         self.gossip.stop()
 
     def begin_term(self) -> None:
-        """Keep the records in the store from now on: this node coordinates."""
-        self._keeper.start()
+        """Start persisting records, as this node has become the coordinator."""
+        self._record_writer.start()
 
     def end_term(self) -> None:
-        """Keep them no more."""
-        self._keeper.stop()
+        """Stop persisting records, as this node is no longer the coordinator."""
+        self._record_writer.stop()
 
     def backend_joined(self, backend: Backend) -> None:
-        """Take the news of a server that has come."""
+        """Handle a server that has joined."""
         self.quarantine.ends.backend_joined(backend)
 
     def start_over(self, state: BackendState) -> None:
-        """Take the news that a server has gone, or started anew under its id."""
+        """Handle a server that was removed or has restarted under its id."""
         if state.replaced:
             self.quarantine.ends.backend_restarted(state)
         else:
             self.quarantine.ends.backend_gone(state)
 
-    def _leave_ended(self, record: CrashRecord, before: CrashRecord | None, source: str) -> None:
-        """Send nothing more to servers that ended: their entries go some seconds later only."""
+    def _mark_crashed_servers(
+        self, record: CrashRecord, before: CrashRecord | None, source: str
+    ) -> None:
+        """Stop sending to crashed servers, whose entries expire only some seconds later."""
         known = before.ended if before is not None else frozenset()
         for incarnation in record.ended - known:
             state = self._directory.find(incarnation)
@@ -135,23 +136,23 @@
                 state.note_ended()
 
     def _catch_up(self) -> None:
-        """Ask the store and the coordinator, both at once, until one of them has answered."""
+        """Query the store and the coordinator concurrently until one of them has responded."""
         started = steady_seconds()
-        sources = (self._read_store, self._ask_coordinator)
-        asking = [gevent.spawn(self._repeat, ask) for ask in sources]
+        sources = (self._read_store, self._query_coordinator)
+        queries = [gevent.spawn(self._retry, query) for query in sources]
         routes_unknown_at = started
         try:
-            while not (done := [one for one in asking if one.ready()]):
+            while not (done := [one for one in queries if one.ready()]):
                 now = steady_seconds()
                 if not self._knows_routes():
                     routes_unknown_at = now
                 elif now - routes_unknown_at >= CATCH_UP_SECONDS:
                     self.caught_up.set()
-                gevent.sleep(CATCH_UP_CHECK_SECONDS)
+                gevent.sleep(CATCH_UP_POLL_SECONDS)
         finally:
-            gevent.killall(asking, block=False)
+            gevent.killall(queries, block=False)
         logger.info(
-            "requests that are held back are known",
+            "crash records received",
             code="quarantine_caught_up",
             source=done[0].value,
             served_before=self.caught_up.is_set(),
@@ -160,32 +161,42 @@
         )
         self.caught_up.set()
 
-    def _repeat(self, ask: Callable[[], str]) -> str:
-        """Ask until there is an answer; returns its source."""
-        pause, longest = CATCH_UP_RETRY_SECONDS
-        while not (source := ask()):
-            gevent.sleep(pause)
-            pause = min(longest, 2 * pause)
+    def _retry(self, query: Callable[[], str]) -> str:
+        """Call ``query`` with backoff until it returns a source; returns that source."""
+        delay, max_delay = CATCH_UP_BACKOFF_SECONDS
+        while not (source := query()):
+            gevent.sleep(delay)
+            delay = min(max_delay, 2 * delay)
         return source
 
     def _read_store(self) -> str:
-        """Return the source of the records, empty when the store gave no answer."""
+        """Return the source of the records; empty if the store did not respond."""
         try:
-            read_records(self._store, self._shard, self.quarantine.ledger, CATCH_UP_CALL_SECONDS)
+            read_records(
+                self._store, self._shard, self.quarantine.ledger, CATCH_UP_CALL_TIMEOUT_SECONDS
+            )
         except RunkeelError as error:
-            logger.info("records not read", code="quarantine_unread", error=str(error.code))
+            logger.info(
+                "crash records not read from the store",
+                code="quarantine_unread",
+                error=str(error.code),
+            )
             return ""
         return "store"
 
-    def _ask_coordinator(self) -> str:
-        """Return the source of the records, empty when no coordinator gave an answer."""
+    def _query_coordinator(self) -> str:
+        """Return the source of the records; empty if no coordinator responded."""
         coordinator = self._coordinator()
         if coordinator is None:
             return ""
         try:
             self.gossip.exchange(coordinator.node_id)
         except RunkeelError as error:
-            logger.info("records not told", code="quarantine_unread", error=str(error.code))
+            logger.info(
+                "crash records not received from the coordinator",
+                code="quarantine_unread",
+                error=str(error.code),
+            )
             return ""
         return coordinator.node_id
 
@@ -194,7 +205,7 @@
             return self._arbiter.ask(record, "")
         coordinator = self._coordinator()
         if coordinator is None:
-            return TrialAnswer(False, NOBODY_RETRY_SECONDS)
+            return TrialAnswer(False, NO_COORDINATOR_RETRY_SECONDS)
         message = TrialRequest(self._shard, to_wire(record, steady_seconds()))
         try:
             reply = self._network.call(
@@ -202,28 +213,28 @@
                 MessageType.QUARANTINE_TRIAL,
                 message,
                 TrialReply,
-                TRIAL_CALL_SECONDS,
+                TRIAL_CALL_TIMEOUT_SECONDS,
             )
         except RunkeelError as error:
             logger.info(
-                "nobody to decide on a trial",
+                "coordinator did not respond to a trial request",
                 code="request_trial",
                 fingerprint=record.fingerprint,
                 coordinator=coordinator.node_id,
                 granted=False,
                 error=str(error.code),
             )
-            return TrialAnswer(False, NOBODY_RETRY_SECONDS)
+            return TrialAnswer(False, NO_COORDINATOR_RETRY_SECONDS)
         return TrialAnswer(reply.granted, reply.retry_after_ms / 1000.0)
 
     def _answer_trial(self, peer: str, message: TrialRequest) -> tuple[int, TrialReply]:
         if self._coordinates():
             answer = self._arbiter.ask(from_wire(message.record, steady_seconds()), peer)
         else:
-            answer = TrialAnswer(False, NOBODY_RETRY_SECONDS)
+            answer = TrialAnswer(False, NO_COORDINATOR_RETRY_SECONDS)
         reply = TrialReply(answer.granted, int(answer.retry_after_seconds * 1000))
         return MessageType.QUARANTINE_TRIAL_REPLY, reply
 
 
-def _name(coordinator: Coordinator | None) -> str | None:
+def _node_id(coordinator: Coordinator | None) -> str | None:
     return coordinator.node_id if coordinator is not None else None
--- a/src/runkeel/quarantine/trials.py
+++ b/src/runkeel/quarantine/trials.py
@@ -1,7 +1,7 @@
-"""Grants single sends of requests that are held back: servers may have ended by chance.
+"""Grants trials, single sends of quarantined requests, as crashes may have had another cause.
 
-One node decides for all, the coordinator, so that the number of trials is bounded. No two requests
-of a service are on trial at once: a server that ends then ends under the one that is.
+The coordinator decides for all nodes, which bounds the number of trials. At most one request of a
+service is on trial at a time, so that a crash can be attributed to it.
 """
 
 from __future__ import annotations
@@ -13,33 +13,32 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.metrics import QUARANTINE_TRIALS
-from runkeel.quarantine.crash_ledger import HELD_SECONDS, CrashLedger
+from runkeel.quarantine.crash_ledger import QUARANTINE_RETENTION_SECONDS, CrashLedger
 from runkeel.quarantine.crash_record import CrashRecord
 
-TRIAL_PAUSES_SECONDS = (0.0, 10.0, 900.0)
-"""Pauses before each trial, from the last end or trial; after the last trial there is none more.
+TRIAL_DELAYS_SECONDS = (0.0, 10.0, 900.0)
+"""Delay before each trial, counted from the last crash or trial; its length bounds their number.
 
-The first is due at once: a request that lost three servers by chance is served when it comes again.
-Three is what the users' platform allows to a request that has crashed three servers.
+The first trial is granted without delay, so that a request that met three unrelated crashes
+succeeds on its next retry.
 """
 
-TRIAL_SECONDS = 3.0
-"""A trial of whose end nothing is heard is over after so long.
+TRIAL_TIMEOUT_SECONDS = 3.0
+"""A trial without a reported outcome is considered finished after this time.
 
-Its node may have died, or its server neither answered nor ended. Plain requests last for 1.5 s at
-most on the users' platform.
+Its node may have crashed, or its server neither responded nor crashed.
 """
 
 BUSY_RETRY_SECONDS = 0.1
-"""When to ask again while another request of the service is on trial; most take less."""
+"""Retry delay while another request of the service is on trial."""
 
-NOBODY_RETRY_SECONDS = 1.0
-"""When to ask again where no coordinator answers: it is replaced within 1.7 s."""
+NO_COORDINATOR_RETRY_SECONDS = 1.0
+"""Retry delay while no coordinator responds."""
 
 
 @dataclass(frozen=True, slots=True)
 class TrialAnswer:
-    """Whether one send was granted; ``retry_after_seconds`` tells when to ask again if not."""
+    """Whether a trial was granted and, if not, after how many seconds to ask again."""
 
     granted: bool
     retry_after_seconds: float = 0.0
@@ -47,34 +46,34 @@
 
 @dataclass(frozen=True, slots=True)
 class _Trial:
-    """A trial under way: the request as it was when it was granted."""
+    """A granted trial: the request's record at that time, and the steady time when it expires."""
 
     record: CrashRecord
-    until: float
+    expires_at: float
 
 
 class TrialArbiter:
-    """Decides on trials; asked at the coordinator only."""
+    """Decides on trials; used only on the coordinator."""
 
     def __init__(self, ledger: CrashLedger, now: Callable[[], float] = steady_seconds) -> None:
         self._ledger = ledger
         self._now = now
         self._trials: dict[str, _Trial] = {}
-        """The last trial of each service."""
+        """Last trial by service."""
 
     def ask(self, record: CrashRecord, source: str) -> TrialAnswer:
-        """Decide on a send of a request.
+        """Decide whether a request may be sent once.
 
         Args:
-            record: what the asking node knows of the request.
-            source: that node; empty: this one.
+            record: the requesting node's record of the request.
+            source: the requesting node; empty for this node.
         """
         self._ledger.take(record, source)
         known = self._ledger.get(record.fingerprint)
         answer = TrialAnswer(True) if known is None or not known.held else self._decide(known)
         QUARANTINE_TRIALS.labels("granted" if answer.granted else "denied").inc()
         logger.info(
-            "trial of a request that is held back",
+            "trial of a quarantined request decided",
             code="request_trial",
             fingerprint=record.fingerprint,
             service=record.service,
@@ -88,21 +87,23 @@
     def _decide(self, known: CrashRecord) -> TrialAnswer:
         now = self._now()
         used = known.trials_used
-        if used >= len(TRIAL_PAUSES_SECONDS):
-            return TrialAnswer(False, max(0.0, known.changed_at + HELD_SECONDS - now))
-        due = known.changed_at + TRIAL_PAUSES_SECONDS[used]
-        if now < due:
-            return TrialAnswer(False, due - now)
-        if self._busy(known.service, now):
+        if used >= len(TRIAL_DELAYS_SECONDS):
+            return TrialAnswer(
+                False, max(0.0, known.changed_at + QUARANTINE_RETENTION_SECONDS - now)
+            )
+        due_at = known.changed_at + TRIAL_DELAYS_SECONDS[used]
+        if now < due_at:
+            return TrialAnswer(False, due_at - now)
+        if self._trial_in_flight(known.service, now):
             return TrialAnswer(False, BUSY_RETRY_SECONDS)
         self._ledger.note_trial(known.fingerprint)
         on_trial = self._ledger.get(known.fingerprint)
-        self._trials[known.service] = _Trial(on_trial, now + TRIAL_SECONDS)
+        self._trials[known.service] = _Trial(on_trial, now + TRIAL_TIMEOUT_SECONDS)
         return TrialAnswer(True)
 
-    def _busy(self, service: str, now: float) -> bool:
-        """Return whether a request of a service is on trial: nothing was heard of it since."""
+    def _trial_in_flight(self, service: str, now: float) -> bool:
+        """Return whether a request of a service is on trial with no outcome reported yet."""
         trial = self._trials.get(service)
-        if trial is None or now >= trial.until:
+        if trial is None or now >= trial.expires_at:
             return False
-        return trial.record.same_as(self._ledger.get(trial.record.fingerprint))
+        return trial.record.same_content(self._ledger.get(trial.record.fingerprint))
--- a/tests/open_quarantine.py
+++ b/tests/open_quarantine.py
@@ -1,10 +1,10 @@
-"""A quarantine of one node by itself, for tests of what it guards."""
+"""A single-node quarantine for tests of its users."""
 
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.quarantine.trials import TrialAnswer
 
 RETRY_SECONDS = 7.0
-"""What a request that is held back is told where no trial is granted."""
+"""Retry delay reported for a denied trial."""
 
 
 def open_quarantine(ask_trial=lambda record: TrialAnswer(False, RETRY_SECONDS)):
--- a/tests/quarantine/test_crash_record.py
+++ b/tests/quarantine/test_crash_record.py
@@ -1,4 +1,4 @@
-"""Records of two nodes say the same together, in whatever order and however often news come."""
+"""Tests that merging crash records does not depend on the order or number of updates."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 from hypothesis import strategies as st
 
 from runkeel.quarantine.crash_record import (
-    MAXIMUM_ENDED,
+    MAX_CRASHED_SERVERS,
     CrashRecord,
     from_wire,
-    merged,
+    merge,
     to_wire,
 )
 
@@ -29,28 +29,28 @@
     @settings(derandomize=True, database=None, deadline=None)
     @given(RECORDS, RECORDS, RECORDS)
     def test_merging_is_commutative_associative_and_idempotent(self, one, other, third):
-        together = merged(one, other)
-        self.assertTrue(together.same_as(merged(other, one)))
-        self.assertTrue(together.same_as(merged(together, one)))
-        self.assertTrue(merged(together, third).same_as(merged(one, merged(other, third))))
+        combined = merge(one, other)
+        self.assertTrue(combined.same_content(merge(other, one)))
+        self.assertTrue(combined.same_content(merge(combined, one)))
+        self.assertTrue(merge(combined, third).same_content(merge(one, merge(other, third))))
 
     @settings(derandomize=True, database=None, deadline=None)
     @given(RECORDS)
-    def test_wire_keeps_everything_but_a_millisecond_of_age(self, record):
+    def test_wire_round_trip_preserves_content_and_age(self, record):
         received = from_wire(to_wire(record, 100.0), 200.0)
-        self.assertTrue(received.same_as(record))
+        self.assertTrue(received.same_content(record))
         self.assertAlmostEqual(received.changed_at - 100.0, record.changed_at, delta=0.002)
 
-    def test_clearance_replaces_what_was_known_before(self):
+    def test_clearance_replaces_earlier_crashes(self):
         known = CrashRecord("f", "ledger", 0, frozenset("abc"), 2, 0, 1.0)
         cleared = CrashRecord("f", "ledger", 1, changed_at=2.0)
-        self.assertFalse(merged(known, cleared).held)
-        self.assertFalse(merged(cleared, known).held)
+        self.assertFalse(merge(known, cleared).held)
+        self.assertFalse(merge(cleared, known).held)
 
-    def test_names_of_servers_are_bounded(self):
-        many = frozenset(f"s{n}" for n in range(3 * MAXIMUM_ENDED))
-        record = merged(CrashRecord("f", "x", ended=many), CrashRecord("f", "x"))
-        self.assertEqual(len(record.ended), MAXIMUM_ENDED)
+    def test_number_of_listed_servers_is_bounded(self):
+        many = frozenset(f"s{n}" for n in range(3 * MAX_CRASHED_SERVERS))
+        record = merge(CrashRecord("f", "x", ended=many), CrashRecord("f", "x"))
+        self.assertEqual(len(record.ended), MAX_CRASHED_SERVERS)
 
 
 if __name__ == "__main__":
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one."""
+"""Tests of which parts of a request determine its fingerprint."""
 
 import unittest
 from dataclasses import replace
@@ -16,12 +16,12 @@
     def of(self, **changes):
         return self.fingerprints.of_plain(replace(PLAIN, **changes))
 
-    def test_id_headers_and_place_in_a_stream_make_no_difference(self):
+    def test_id_headers_and_stream_position_do_not_affect_fingerprint(self):
         same = self.of(request_id="other", headers=(), resume_after="7", urgency=3)
         self.assertEqual(same, self.of())
         self.assertEqual(self.of(host="H"), self.of())
 
-    def test_caller_and_each_part_of_the_request_make_one(self):
+    def test_tenant_method_target_host_and_body_affect_fingerprint(self):
         changes = (
             {"tenant": "school"},
             {"method": "PUT"},
@@ -32,19 +32,19 @@
         prints = {self.of(), *(self.of(**one) for one in changes)}
         self.assertEqual(len(prints), 1 + len(changes))
 
-    def test_parts_do_not_run_into_each_other(self):
+    def test_field_boundaries_affect_fingerprint(self):
         one = self.of(host="ab", target="c")
         self.assertNotEqual(one, self.of(host="a", target="bc"))
         self.assertNotEqual(self.of(target="/p", body=b"x"), self.of(target="/px", body=b""))
 
-    def test_item_is_the_same_as_the_plain_request_that_runs_it(self):
+    def test_item_has_the_fingerprint_of_its_plain_request(self):
         run = GenerationRequest("i", "/p?q=1", "h", (), b"body", tenant="parish")
         self.assertEqual(self.fingerprints.of_generation(run), self.of())
 
-    def test_nobody_without_the_secret_can_make_it(self):
+    def test_fingerprint_depends_on_the_secret(self):
         self.assertNotEqual(Fingerprinter(b"guess").of_plain(PLAIN), self.of())
 
-    def test_holds_neither_body_nor_caller(self):
+    def test_fingerprint_is_an_opaque_digest(self):
         fingerprint = self.of()
         self.assertRegex(fingerprint, "^[0-9a-f]{32}$")
 
--- a/tests/quarantine/test_gossip.py
+++ b/tests/quarantine/test_gossip.py
@@ -1,4 +1,4 @@
-"""News of crashes between nodes: who is told, what is told again, who catches up."""
+"""Tests of crash record gossip: forwarding, retries, catching up and message limits."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from runkeel.quarantine.gossip import QuarantineGossip
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
-LONGEST_WAIT_SECONDS = 5.0
+WAIT_TIMEOUT_SECONDS = 5.0
 
 
 class GossipTest(unittest.TestCase):
@@ -22,17 +22,17 @@
         self.gossips = {name: self.gossip(name) for name in self.neighbours}
 
     def gossip(self, name):
-        made = QuarantineGossip(
+        created = QuarantineGossip(
             self.network.node(name),
             "fleet",
             self.ledgers[name],
             lambda: self.neighbours[name],
             lambda: self.coordinator if self.coordinator != name else None,
         )
-        self.addCleanup(made.stop)
-        return made
+        self.addCleanup(created.stop)
+        return created
 
-    def end_servers(self, name, *servers, fingerprint="f"):
+    def crash_servers(self, name, *servers, fingerprint="f"):
         for server in servers:
             self.ledgers[name].note_ended(fingerprint, "ledger", server)
 
@@ -40,90 +40,90 @@
         record = self.ledgers[name].get("f")
         return set(record.ended) if record is not None else set()
 
-    def wait(self, condition):
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+    def wait_until(self, condition):
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not condition():
-            self.assertLess(steady_seconds(), deadline, "waited too long")
+            self.assertLess(steady_seconds(), deadline, "condition not met in time")
             gevent.sleep(0.01)
 
-    def test_news_are_passed_on_by_nodes_that_did_not_know_them(self):
-        self.end_servers("a", "s1", "s2")
-        self.wait(lambda: self.ended("b") == self.ended("c") == {"s1", "s2"})
+    def test_updates_are_forwarded_by_nodes_to_which_they_are_new(self):
+        self.crash_servers("a", "s1", "s2")
+        self.wait_until(lambda: self.ended("b") == self.ended("c") == {"s1", "s2"})
 
-    def test_ends_seen_at_different_nodes_add_up(self):
+    def test_crashes_observed_by_different_nodes_accumulate(self):
         for name, server in (("a", "s1"), ("b", "s2"), ("c", "s3")):
-            self.end_servers(name, server)
-        self.wait(lambda: all(self.ledgers[one].get("f").held for one in "abc"))
+            self.crash_servers(name, server)
+        self.wait_until(lambda: all(self.ledgers[one].get("f").held for one in "abc"))
 
-    def test_coordinator_is_told_at_once_of_what_a_node_has_found(self):
+    def test_coordinator_is_notified_directly_of_local_changes(self):
         self.coordinator = "d"
-        self.end_servers("a", "s1")
-        self.wait(lambda: self.ended("d") == {"s1"})
+        self.crash_servers("a", "s1")
+        self.wait_until(lambda: self.ended("d") == {"s1"})
 
-    def test_neighbour_that_is_cut_off_is_told_later(self):
+    def test_partitioned_neighbour_is_updated_after_the_partition_heals(self):
         self.network.cut("a", "b")
-        self.end_servers("a", "s1")
-        gevent.sleep(2 * gossip.RETRY_SECONDS)
+        self.crash_servers("a", "s1")
+        gevent.sleep(2 * gossip.RETRY_DELAY_SECONDS)
         self.assertEqual(self.ended("b"), set())
         self.network.heal()
-        self.wait(lambda: self.ended("b") == {"s1"})
+        self.wait_until(lambda: self.ended("b") == {"s1"})
 
-    def test_node_that_was_started_anew_catches_up(self):
-        self.end_servers("a", "s1", "s2", "s3")
-        self.wait(lambda: self.ended("c"))
+    def test_restarted_node_catches_up(self):
+        self.crash_servers("a", "s1", "s2", "s3")
+        self.wait_until(lambda: self.ended("c"))
         self.ledgers["b"] = CrashLedger()
         fresh = self.gossip("b")
         fresh.exchange("c")
         self.assertTrue(self.ledgers["b"].get("f").held)
 
-    def test_ledgers_that_differ_for_a_while_are_exchanged(self):
+    def test_ledgers_that_stay_different_are_exchanged(self):
         self.network.cut("a", "b")
-        self.end_servers("a", "s1")
-        self.end_servers("d", "s2")
+        self.crash_servers("a", "s1")
+        self.crash_servers("d", "s2")
         self.gossips["c"].note_digest("d", self.ledgers["d"].digest)
-        gevent.sleep(gossip.DIFFERENT_SECONDS + 0.1)
+        gevent.sleep(gossip.DIGEST_MISMATCH_SECONDS + 0.1)
         self.assertIn("s2", self.ended("c"))
         self.assertIn("s1", self.ended("d") | self.ended("a"))
 
-    def test_news_on_their_way_are_waited_for(self):
+    def test_no_exchange_if_updates_in_transit_make_ledgers_equal(self):
         calls = []
         self.gossips["b"].exchange = calls.append
-        self.end_servers("a", "s1")
+        self.crash_servers("a", "s1")
         self.gossips["b"].note_digest("a", self.ledgers["a"].digest)
-        gevent.sleep(gossip.DIFFERENT_SECONDS + 0.1)
+        gevent.sleep(gossip.DIGEST_MISMATCH_SECONDS + 0.1)
         self.assertEqual((calls, self.ended("b")), ([], {"s1"}))
 
-    def test_many_records_go_out_in_bounded_messages(self):
+    def test_messages_are_bounded_in_records(self):
         sizes = []
         receive = self.gossips["b"]._receive
 
-        def counted(peer, message):
+        def counting_receive(peer, message):
             sizes.append(len(message.records))
             return receive(peer, message)
 
-        self.network.register("b", gossip.MessageType.QUARANTINE_NEWS, counted)
-        for number in range(3 * gossip.BATCH):
-            self.end_servers("a", "s", fingerprint=f"f{number}")
-        self.wait(lambda: len(self.ledgers["c"]) == 3 * gossip.BATCH)
-        self.assertLessEqual(max(sizes), gossip.BATCH)
+        self.network.register("b", gossip.MessageType.QUARANTINE_NEWS, counting_receive)
+        for number in range(3 * gossip.MAX_BATCH_RECORDS):
+            self.crash_servers("a", "s", fingerprint=f"f{number}")
+        self.wait_until(lambda: len(self.ledgers["c"]) == 3 * gossip.MAX_BATCH_RECORDS)
+        self.assertLessEqual(max(sizes), gossip.MAX_BATCH_RECORDS)
 
-    def test_loss_of_a_zone_is_told_within_bounds(self):
-        """4,200 requests at 700 servers: no more is sent than a ledger holds, and not at once."""
+    def test_loss_of_a_zone_sends_bounded_records_and_rate(self):
+        """4,200 requests crash on 700 servers: evicted records are not sent, messages are paced."""
         messages = []
         receive = self.gossips["b"]._receive
 
-        def counted(peer, message):
+        def counting_receive(peer, message):
             messages.append((steady_seconds(), len(message.records)))
             return receive(peer, message)
 
-        self.network.register("b", gossip.MessageType.QUARANTINE_NEWS, counted)
+        self.network.register("b", gossip.MessageType.QUARANTINE_NEWS, counting_receive)
         for number in range(4_200):
-            self.end_servers("a", f"s{number % 700}", fingerprint=f"f{number}")
-        self.assertLessEqual(len(self.gossips["a"]._untold["b"]), 2 * MAXIMUM_RECORDS)
-        self.wait(lambda: not self.gossips["a"]._untold)
+            self.crash_servers("a", f"s{number % 700}", fingerprint=f"f{number}")
+        self.assertLessEqual(len(self.gossips["a"]._pending["b"]), 2 * MAXIMUM_RECORDS)
+        self.wait_until(lambda: not self.gossips["a"]._pending)
         self.assertLessEqual(sum(size for _, size in messages), 2 * MAXIMUM_RECORDS)
         seconds = messages[-1][0] - messages[0][0]
-        self.assertGreaterEqual(seconds, gossip.MESSAGE_PAUSE_SECONDS * (len(messages) - 1))
+        self.assertGreaterEqual(seconds, gossip.MIN_MESSAGE_INTERVAL_SECONDS * (len(messages) - 1))
         self.assertEqual(len(self.ledgers["c"]), MAXIMUM_RECORDS)
 
 
--- a/tests/quarantine/test_record_keeper.py
+++ b/tests/quarantine/test_record_keeper.py
@@ -1,4 +1,4 @@
-"""What of the ledger outlasts a restart of all nodes."""
+"""Tests of the crash records that are persisted in the document store."""
 
 import unittest
 
@@ -7,85 +7,87 @@
 from runkeel.api.documents import DocumentKind
 from runkeel.clock import steady_seconds
 from runkeel.quarantine.crash_ledger import CrashLedger
-from runkeel.quarantine.record_keeper import RecordKeeper, read_records
+from runkeel.quarantine.record_keeper import CrashRecordWriter, read_records
 from runkeel_lab.standins.document_store import MemoryDocumentStore, StoreFault
 
-LONGEST_WAIT_SECONDS = 5.0
+WAIT_TIMEOUT_SECONDS = 5.0
 
 
 class RecordKeeperTest(unittest.TestCase):
     def setUp(self):
         self.store = MemoryDocumentStore()
         self.ledger = CrashLedger()
-        self.keeper = RecordKeeper(self.store, "fleet", self.ledger)
-        self.addCleanup(self.keeper.stop)
+        self.writer = CrashRecordWriter(self.store, "fleet", self.ledger)
+        self.addCleanup(self.writer.stop)
 
-    def end_servers(self, fingerprint, *servers):
+    def crash_servers(self, fingerprint, *servers):
         for server in servers:
             self.ledger.note_ended(fingerprint, "ledger", server)
 
-    def kept(self):
+    def stored_crash_counts(self):
         ledger = CrashLedger()
         read_records(self.store, "fleet", ledger)
         return {one.fingerprint: len(one.ended) for one in ledger.records()}
 
-    def wait(self, condition):
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+    def wait_until(self, condition):
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not condition():
-            self.assertLess(steady_seconds(), deadline, "waited too long")
+            self.assertLess(steady_seconds(), deadline, "condition not met in time")
             gevent.sleep(0.02)
 
-    def test_records_with_two_ends_are_kept_and_read_again(self):
-        self.keeper.start()
-        self.end_servers("one", "a")
-        self.end_servers("held", "a", "b", "c")
-        self.end_servers("two", "a", "b")
-        self.wait(lambda: self.kept() == {"held": 3, "two": 2})
-
-    def test_cleared_request_is_kept_no_more(self):
-        self.keeper.start()
-        self.end_servers("f", "a", "b", "c")
-        self.wait(self.kept)
+    def test_records_with_two_crashes_are_stored_and_read_back(self):
+        self.writer.start()
+        self.crash_servers("one", "a")
+        self.crash_servers("held", "a", "b", "c")
+        self.crash_servers("two", "a", "b")
+        self.wait_until(lambda: self.stored_crash_counts() == {"held": 3, "two": 2})
+
+    def test_cleared_request_is_removed_from_the_store(self):
+        self.writer.start()
+        self.crash_servers("f", "a", "b", "c")
+        self.wait_until(self.stored_crash_counts)
         self.ledger.clear("f")
-        self.wait(lambda: not self.kept())
+        self.wait_until(lambda: not self.stored_crash_counts())
 
-    def test_next_coordinator_takes_what_the_one_before_has_kept(self):
-        self.keeper.start()
-        self.end_servers("f", "a", "b", "c")
-        self.wait(self.kept)
-        self.keeper.stop()
+    def test_new_coordinator_keeps_records_of_the_previous_one(self):
+        self.writer.start()
+        self.crash_servers("f", "a", "b", "c")
+        self.wait_until(self.stored_crash_counts)
+        self.writer.stop()
         ledger = CrashLedger()
-        after = RecordKeeper(self.store, "fleet", ledger)
-        self.addCleanup(after.stop)
-        after.start()
-        self.wait(lambda: ledger.get("f") is not None)
+        successor = CrashRecordWriter(self.store, "fleet", ledger)
+        self.addCleanup(successor.stop)
+        successor.start()
+        self.wait_until(lambda: ledger.get("f") is not None)
         ledger.note_ended("g", "ledger", "a")
         ledger.note_ended("g", "ledger", "b")
-        self.wait(lambda: self.kept() == {"f": 3, "g": 2})
+        self.wait_until(lambda: self.stored_crash_counts() == {"f": 3, "g": 2})
 
-    def test_two_that_believe_to_coordinate_lose_nothing(self):
+    def test_two_concurrent_coordinators_lose_no_records(self):
         other = CrashLedger()
-        second = RecordKeeper(self.store, "fleet", other)
+        second = CrashRecordWriter(self.store, "fleet", other)
         self.addCleanup(second.stop)
-        self.keeper.start()
+        self.writer.start()
         second.start()
-        self.end_servers("f", "a", "b", "c")
+        self.crash_servers("f", "a", "b", "c")
         for server in "xyz":
             other.note_ended("g", "ledger", server)
-        self.wait(lambda: self.kept() == {"f": 3, "g": 3})
+        self.wait_until(lambda: self.stored_crash_counts() == {"f": 3, "g": 3})
 
-    def test_write_that_fails_or_is_not_answered_is_made_again(self):
-        self.keeper.start()
+    def test_failed_or_unacknowledged_write_is_retried(self):
+        self.writer.start()
         for fault in StoreFault:
             with self.subTest(fault):
                 self.store.fail_next_write(fault, 2)
-                self.end_servers(f"f-{fault.value}", "a", "b", "c")
-                self.wait(lambda fault=fault: f"f-{fault.value}" in self.kept())
+                self.crash_servers(f"f-{fault.value}", "a", "b", "c")
+                self.wait_until(
+                    lambda fault=fault: f"f-{fault.value}" in self.stored_crash_counts()
+                )
 
-    def test_document_that_is_not_understood_is_passed_over(self):
+    def test_malformed_records_are_skipped(self):
         content = {"records": [{"fingerprint": "f"}, 5]}
         self.store.create(DocumentKind.QUARANTINE, "fleet", content)
-        self.assertEqual(self.kept(), {})
+        self.assertEqual(self.stored_crash_counts(), {})
 
 
 if __name__ == "__main__":
--- a/tests/quarantine/test_trials.py
+++ b/tests/quarantine/test_trials.py
@@ -1,4 +1,4 @@
-"""Which sends of requests that are held back are granted."""
+"""Tests of which trials of quarantined requests are granted."""
 
 import unittest
 
@@ -6,8 +6,8 @@
 from runkeel.quarantine.crash_record import CrashRecord
 from runkeel.quarantine.trials import (
     BUSY_RETRY_SECONDS,
-    TRIAL_PAUSES_SECONDS,
-    TRIAL_SECONDS,
+    TRIAL_DELAYS_SECONDS,
+    TRIAL_TIMEOUT_SECONDS,
     TrialArbiter,
 )
 
@@ -26,9 +26,9 @@
     def ask(self, fingerprint):
         return self.arbiter.ask(self.ledger.get(fingerprint), "node")
 
-    def test_first_trial_is_granted_at_once_and_each_further_one_after_a_pause(self):
+    def test_first_trial_is_granted_immediately_and_later_ones_after_a_delay(self):
         self.hold("f")
-        for number, pause in enumerate(TRIAL_PAUSES_SECONDS):
+        for number, pause in enumerate(TRIAL_DELAYS_SECONDS):
             if pause:
                 self.now += pause - 0.1
                 denied = self.ask("f")
@@ -40,7 +40,7 @@
         self.now += 10_000.0
         self.assertFalse(self.ask("f").granted)
 
-    def test_one_request_of_a_service_is_on_trial_at_a_time(self):
+    def test_only_one_request_per_service_is_on_trial(self):
         self.hold("f")
         self.hold("g")
         self.hold("other", "engines")
@@ -50,11 +50,11 @@
         self.ledger.clear("f")
         self.assertTrue(self.ask("g").granted)
 
-    def test_trial_of_which_nothing_is_heard_is_over_after_a_while(self):
+    def test_trial_without_outcome_times_out(self):
         self.hold("f")
         self.hold("g")
         self.ask("f")
-        self.now += TRIAL_SECONDS
+        self.now += TRIAL_TIMEOUT_SECONDS
         self.assertTrue(self.ask("g").granted)
 
     def test_trial_that_reached_no_server_is_not_counted(self):
@@ -64,13 +64,13 @@
             self.ledger.note_trial_returned("f")
         self.assertEqual(self.ledger.get("f").trials_used, 0)
 
-    def test_request_that_was_cleared_meanwhile_is_not_on_trial(self):
+    def test_cleared_request_needs_no_trial(self):
         record = self.hold("f")
         self.ledger.clear("f")
         self.assertTrue(self.arbiter.ask(record, "node").granted)
         self.assertEqual(self.ledger.get("f").trials, 0)
 
-    def test_what_the_asking_node_knows_counts(self):
+    def test_record_of_requesting_node_is_merged_before_the_decision(self):
         record = CrashRecord("f", "ledger", 0, frozenset("abcd"), 3, 0, self.now)
         self.assertFalse(self.arbiter.ask(record, "node").granted)
 
