--- a/src/runkeel/state/__init__.py
+++ b/src/runkeel/state/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated configuration, ownership and replicated records."""
+"""Local copies of the documents in the store, and observation of the store's availability."""
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -1,4 +1,4 @@
-"""Keeps a copy of all documents of a kind, by a list and a watch on the store."""
+"""Maintains a copy of all documents of a kind by listing and watching the store."""
 
 from __future__ import annotations
 
@@ -27,60 +27,56 @@
 from runkeel.state.unreadable_documents import UnreadableDocuments
 
 WATCH_SECONDS = 29.0
-"""Longest wait of a watch if nothing shorter is asked for.
+"""Default time-out of a watch; below 30 s, after which idle connections are commonly closed."""
 
-Chosen: below the 30 s after which idle calls are commonly cut.
-"""
+INITIAL_RETRY_DELAY_SECONDS = 0.1
+MAX_RETRY_DELAY_SECONDS = 0.4
 
-FIRST_RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 0.4
-
-TIMELY_MARGIN_SECONDS = 0.4
-"""An answer so much later than the watch's wait proves nothing about now. Chosen, not measured."""
+MAX_WATCH_OVERRUN_SECONDS = 0.4
+"""A response that arrives later than this after the watch's time-out may be out of date."""
 
 RESTING_PROBE_SECONDS = 2.0
-"""A watcher that follows a feed asks the store itself so often while the store is lost.
-
-Chosen, not measured.
-"""
+"""Interval at which a watcher that need not query the store probes it while it is unavailable."""
 
 MAXIMUM_REMOVALS = 4_000
-"""Removals that are remembered for other nodes."""
+"""Maximum number of removals recorded for other nodes."""
 
-LONGEST_REASON = 200
-"""Characters of an exception that a line gives as the reason; it may quote the document."""
+MAX_REASON_LENGTH = 200
+"""Maximum characters of an exception in a log line; it may quote the document."""
 
 ChangeListener = Callable[[Document, bool], None]
-"""Called with a document and whether it was removed."""
+"""Called with a document and whether it has been removed."""
 
 
 class DocumentWatcher:
-    """Follows one kind of documents.
+    """Maintains a copy of all documents of one kind.
 
-    A document never goes back to an older revision. Nothing is forgotten while the store can't
-    be reached. Another node's copy may bring the news instead, see :meth:`take`.
+    A document never reverts to an older revision. The copy is retained while the store is
+    unreachable; pages of another node's copy may update it, see :meth:`take`.
 
     Args:
-        pause_seconds: changes are gathered for so long; each answer of the store has its price.
-        watch_seconds: longest time that one watch waits. A watch whose answer was lost is mute
-            until then.
-        needed: set while the store has to be asked; None: always.
-        resting_probe_seconds: while the store need not be asked but failed last, it is tried so
-            often: refused calls have their price too.
-        lapse_seconds: documents that lapsed in an outage of the store are kept for so long after
-            its end, since those whose owners live come back.
-        returned_at: steady time at which the store was back after the last such outage.
-        first_list: how new the very first list must be. One that is old is as good where the
-            watch that follows is waited for: it brings at once what has come since.
+        pause_seconds: returns the pause after a watch with changes, which batches them to limit
+            the number of calls.
+        watch_seconds: returns the time-out of a watch in seconds. A watch whose response was lost
+            hangs until then.
+        needed: set while the store must be queried; None if it always must.
+        resting_probe_seconds: interval at which a failed store is probed while it need not be
+            queried.
+        lapse_seconds: how long documents that expired during an outage are retained after it, as
+            live owners write them again.
+        returned_at: returns the steady time, in seconds, at which the store recovered from the
+            last such outage.
+        first_list: required freshness of the first list. Any age is sufficient if the caller waits
+            for the watch that follows, which returns all later changes at once.
 
     Attributes:
         documents: the copy, by name.
         revision: the store's revision that the copy reflects, 0 before the first list.
-        unbroken_since: revision since which this watcher has seen every change itself. What came
-            and went before, in a gap between two lists, it may never have known.
-        removals: names that are gone since then, each with the revision at which it was noticed.
-        listed: set once the first list has been read.
-        fresh_at: steady time at which the documents were those of the store, at least.
+        unbroken_since: revision since which this watcher has observed every change. Documents
+            created and removed before, between two lists, may have been missed.
+        removals: names removed since then, each with the revision at which it was noticed.
+        listed: set once the first list or page has been applied.
+        fresh_at: steady time, in seconds, at which the copy was last known to equal the store.
     """
 
     def __init__(
@@ -121,44 +117,42 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether the store answered the last call."""
+        """Whether the last call to the store succeeded."""
         return self._failures == 0
 
     def start(self) -> None:
-        """Start to follow."""
         self._task = gevent.spawn(self._run)
 
     @property
     def digest(self) -> int:
-        """Digest of the names of the documents."""
+        """Digest of the documents' names."""
         return self._names.value
 
     @property
     def kind(self) -> DocumentKind:
-        """The kind of documents."""
         return self._kind
 
     def on_change(self, listener: ChangeListener) -> None:
-        """Have a further listener called, after those before it."""
+        """Register a further listener; listeners are called in order of registration."""
         self._listeners.append(listener)
 
     def on_return(self, listener: Callable[[Document], None]) -> None:
-        """Have a listener called with each document that had lapsed here and came back.
+        """Register a listener for documents that expired, were retained, and were written again.
 
-        It was kept meanwhile, so that a listener to changes may see none.
+        To change listeners they may look unchanged, because the copy never removed them.
         """
         self._return_listeners.append(listener)
 
     def on_unreadable(self, listener: Callable[[Document, str], None]) -> None:
-        """Have a listener called with a document that can't be read, and why, once it is news."""
+        """Register a listener for unreadable documents, called once per document and reason."""
         self._unreadable_listeners.append(listener)
 
     def refresh(self, reason: str) -> None:
-        """Give up the pending watch, which may be mute, and list again."""
+        """Cancel the pending watch, which may be hanging, and list again."""
         if self._task is None or not self.listed.is_set():
             return
         logger.info(
-            "watch given up",
+            "watch cancelled for a new list",
             code="watch_refreshed",
             kind=str(self._kind),
             reason=reason,
@@ -169,18 +163,17 @@
         self.start()
 
     def rewatch(self) -> None:
-        """Begin the pending watch anew, with the waiting time that holds now."""
+        """Restart the pending watch with the current time-out."""
         if self._task is not None and self.listed.is_set():
             self.stop()
             self.start()
 
     def stop(self) -> None:
-        """Stop to follow."""
         if self._task is not None:
             self._task.kill(block=False)
 
     def take(self, page: DocumentPage) -> None:
-        """Take what another node's copy has, unless this one is newer."""
+        """Apply a page of another node's copy, unless this copy is newer."""
         self._take_page(page, self._remove)
 
     def _take_page(self, page: DocumentPage, remove: Callable[[str], None]) -> None:
@@ -193,8 +186,8 @@
         if page.whole:
             self._list_due = False
         present = {document.name for document in page.documents}
-        gone = [name for name in self.documents if name not in present] if page.whole else ()
-        for name in {*gone, *page.removed} - present:
+        missing = [name for name in self.documents if name not in present] if page.whole else ()
+        for name in {*missing, *page.removed} - present:
             remove(name)
         for document in page.documents:
             if document.revision > before or page.whole:
@@ -210,17 +203,17 @@
             except HistoryLostError:
                 self._list_due = True
             except RunkeelError as error:
-                self._failed(error)
+                self._on_failure(error)
                 gevent.sleep(self._retry_delay())
                 self._await_turn()
             except Exception as error:
-                # An answer that was not foreseen costs this step; a watch that ended would leave
-                # the copy as it is for good, without a word.
+                # An unexpected response must not end the task, or the copy would silently stay
+                # out of date.
                 logger.error(
-                    "step of a watch failed",
+                    "unexpected error while listing or watching",
                     code="watch_step_failed",
                     kind=str(self._kind),
-                    error=repr(error)[:LONGEST_REASON],
+                    error=repr(error)[:MAX_REASON_LENGTH],
                 )
                 self._list_due = True
                 self._failures += 1
@@ -231,50 +224,50 @@
         if self._list_due:
             freshness, self._list_freshness = self._list_freshness, Freshness.CURRENT
             self._list(freshness)
-            self._succeeded(started, confirms=freshness is Freshness.CURRENT)
+            self._on_success(started, confirms=freshness is Freshness.CURRENT)
             return
-        # After a failure an answer is wanted at once: it shows that the store is back.
+        # After a failure, do not wait for changes: any response shows that the store recovered.
         wait_seconds = 0.0 if self._failures else self._watch_seconds()
         changes = self._store.watch(self._kind, self.revision, wait_seconds)
         self._take_changes(changes)
-        self._succeeded(started)
+        self._on_success(started)
         if changes.changes:
             gevent.sleep(self._pause_seconds())
 
     def _take_changes(self, changes: DocumentChanges) -> None:
-        """Apply the changes that are not reflected yet; news may have come by another way."""
+        """Apply changes not reflected yet; pages of another node may have brought some of them."""
         before = self.revision
         self.revision = max(before, changes.revision)
         if self.revision > before:
-            self._note_expired()
+            self._record_expired_removals()
         for change in changes.changes:
-            if change.removed and self._keep_lapsed(change.document.name):
+            if change.removed and self._retain_expired(change.document.name):
                 continue
             if change.removed:
-                self._note_removal(change.document.name)
+                self._record_removal(change.document.name)
             if change.removed or change.document.revision > before:
                 self._apply(change.document, change.removed)
 
-    def _keep_lapsed(self, name: str) -> bool:
-        """Keep a document that the store no longer has; False when it is to be removed."""
-        return name in self.documents and self._lapsed.keep(name)
+    def _retain_expired(self, name: str) -> bool:
+        """Retain a document missing from the store; returns False if it must be removed."""
+        return name in self.documents and self._lapsed.retain(name)
 
-    def _note_expired(self) -> None:
-        """Have other nodes told of what was given up: at a revision that they don't have yet."""
+    def _record_expired_removals(self) -> None:
+        """Record removals of expired documents, at a revision that other nodes don't have yet."""
         for name in self._lapsed.take_expired():
             if name not in self.documents:
-                self._note_removal(name)
+                self._record_removal(name)
 
     def _remove(self, name: str) -> None:
         if name in self.documents:
             self._apply(self.documents[name], removed=True)
 
     def _remove_listed(self, name: str) -> None:
-        if not self._keep_lapsed(name):
+        if not self._retain_expired(name):
             self._remove(name)
 
-    def _note_removal(self, name: str) -> None:
-        """Remember a removal, also of a document that this copy never had: others may have it."""
+    def _record_removal(self, name: str) -> None:
+        """Record a removal, even of a document unknown here, since other nodes may have it."""
         self.removals.append((self.revision, name))
         if len(self.removals) > MAXIMUM_REMOVALS:
             self.unbroken_since = self.removals.popleft()[0]
@@ -301,16 +294,16 @@
             if known is None:
                 self._names.toggle(document.name)
             self.documents[document.name] = document
-        self._tell(document, removed)
+        self._notify_listeners(document, removed)
         if returned:
             for listener in self._return_listeners:
                 listener(document)
 
-    def _tell(self, document: Document, removed: bool) -> None:
-        """Call the listeners; one that can't read the document doesn't end the watch.
+    def _notify_listeners(self, document: Document, removed: bool) -> None:
+        """Call the listeners; one that cannot read the document does not end the watch.
 
-        What others wrote may make any exception of a parser, so that all are caught here, but for
-        assertions, which tell of a fault of our own.
+        Malformed content may raise any exception in a parser, so all are caught except assertion
+        errors, which indicate a bug.
         """
         try:
             for listener in self._listeners:
@@ -318,33 +311,33 @@
         except AssertionError:
             raise
         except UnreadableDocumentError as error:
-            self._found_unreadable(document, str(error))
+            self._report_unreadable(document, str(error))
         except Exception as error:
-            self._found_unreadable(document, repr(error)[:LONGEST_REASON])
+            self._report_unreadable(document, repr(error)[:MAX_REASON_LENGTH])
         else:
             self._unreadable.note_readable(document.kind, document.name)
 
-    def _found_unreadable(self, document: Document, reason: str) -> None:
+    def _report_unreadable(self, document: Document, reason: str) -> None:
         if self._unreadable.note(document.kind, document.name, reason):
             for listener in self._unreadable_listeners:
                 listener(document, reason)
 
-    def _succeeded(self, started: float, confirms: bool = True) -> None:
-        """Take note of an answer; ``confirms`` when it shows that the copy is current."""
+    def _on_success(self, started: float, confirms: bool = True) -> None:
+        """Handle a successful call; ``confirms`` says whether it shows that the copy is current."""
         if self._failures:
-            logger.info("store regained", code="store_regained", kind=str(self._kind))
+            logger.info("store reachable again", code="store_regained", kind=str(self._kind))
         self._failures = 0
         if not confirms:
             return
         now = steady_seconds()
-        # An answer that took much longer than asked for may have lain unread in a paused process.
-        timely = now - started <= self._watch_seconds() + TIMELY_MARGIN_SECONDS
-        self.fresh_at = now if timely else started
+        # A response that took much longer may have been buffered while the process was paused.
+        on_time = now - started <= self._watch_seconds() + MAX_WATCH_OVERRUN_SECONDS
+        self.fresh_at = now if on_time else started
 
-    def _failed(self, error: RunkeelError) -> None:
+    def _on_failure(self, error: RunkeelError) -> None:
         if not self._failures:
             logger.warning(
-                "store lost",
+                "store unreachable",
                 code="store_lost",
                 kind=str(self._kind),
                 error=error.detail,
@@ -353,11 +346,13 @@
         self._failures += 1
 
     def _await_turn(self) -> None:
-        """Let one of the node's watchers try a store that fails, not all of them."""
+        """Wait for this watcher's turn, so that the node's watchers do not all probe the store."""
         await_turn = getattr(self._store, "await_turn", None)
         if await_turn is not None:
             await_turn()
 
     def _retry_delay(self) -> float:
-        delay = min(LONGEST_RETRY_SECONDS, FIRST_RETRY_SECONDS * 2 ** min(self._failures, 5))
+        delay = min(
+            MAX_RETRY_DELAY_SECONDS, INITIAL_RETRY_DELAY_SECONDS * 2 ** min(self._failures, 5)
+        )
         return delay * random.uniform(0.7, 1.0)
--- a/src/runkeel/state/lapsed_documents.py
+++ b/src/runkeel/state/lapsed_documents.py
@@ -1,4 +1,4 @@
-"""Documents that lapsed while the store was away, kept until their owners must be back."""
+"""Retains documents that expired during a store outage until their owners can rewrite them."""
 
 from __future__ import annotations
 
@@ -10,76 +10,79 @@
 from runkeel.api.documents import DocumentKind
 from runkeel.clock import steady_seconds
 
-NAMES = 20
-"""So many documents are named in a line; the others are counted."""
+MAX_LOGGED_NAMES = 20
+"""Maximum number of document names in a log line."""
 
 
 class LapsedDocuments:
-    """Remembers which documents of one kind the store no longer has since an outage.
+    """Tracks documents of one kind that are missing from the store since an outage.
 
-    A document that needs heartbeats lapses while the store is away, though its owner lives. Those
-    that live write it again soon after the store's return; what is still missing then is given up.
+    A document that needs heartbeats expires during an outage although its owner is alive. Live
+    owners write it again soon after the store recovers; documents still missing after the grace
+    period are removed.
 
     Args:
-        keep_seconds: documents are kept for so long after the end of an outage; 0: never.
-        returned_at: steady time at which the store was back after the last outage that may have
-            let documents lapse, 0 before the first one. The node's word counts, not that of one
-            watcher: all of a node's tasks take turns to try a store that is away.
-        give_up: removes a document from the copy.
+        grace_seconds: how long documents are retained after the end of an outage; 0 disables
+            retention.
+        returned_at: returns the steady time, in seconds, at which the store recovered from the
+            last outage long enough for documents to expire; 0 before the first one. It is
+            determined per node, not per watcher, because all tasks of a node take turns probing a
+            failed store.
+        remove: removes a document from the copy.
     """
 
     def __init__(
         self,
         kind: DocumentKind,
-        keep_seconds: float,
+        grace_seconds: float,
         returned_at: Callable[[], float],
-        give_up: Callable[[str], None],
+        remove: Callable[[str], None],
     ) -> None:
         self._kind = kind
-        self._keep_seconds = keep_seconds
+        self._grace_seconds = grace_seconds
         self._returned_at = returned_at
-        self._give_up = give_up
-        self._kept: set[str] = set()
+        self._remove = remove
+        self._retained: set[str] = set()
         self._ends_at = 0.0
         self._expired: list[str] = []
 
-    def keep(self, name: str) -> bool:
-        """Keep a document that the store no longer has; False when it is to be removed."""
+    def retain(self, name: str) -> bool:
+        """Retain a document missing from the store; returns False if it must be removed."""
         returned_at = self._returned_at()
-        ends_at = returned_at + self._keep_seconds
+        grace_ends_at = returned_at + self._grace_seconds
         now = steady_seconds()
-        if not returned_at or now >= ends_at:
+        if not returned_at or now >= grace_ends_at:
             return False
-        if ends_at > self._ends_at:
-            self._ends_at = ends_at
-            gevent.spawn_later(ends_at - now, self._expire, ends_at)
-        self._kept.add(name)
+        if grace_ends_at > self._ends_at:
+            self._ends_at = grace_ends_at
+            gevent.spawn_later(grace_ends_at - now, self._expire, grace_ends_at)
+        self._retained.add(name)
         return True
 
     def discard(self, name: str) -> bool:
-        """Forget a document of which there is news; returns whether it was being kept."""
-        kept = name in self._kept
-        self._kept.discard(name)
-        return kept
+        """Stop tracking an updated document; returns whether it was being retained."""
+        retained = name in self._retained
+        self._retained.discard(name)
+        return retained
 
     def take_expired(self) -> list[str]:
-        """Return what was given up since the last call."""
+        """Return the names of documents removed since the last call."""
         expired, self._expired = self._expired, []
         return expired
 
-    def _expire(self, ends_at: float) -> None:
-        """Give up what has not come back, unless a later outage has prolonged the time."""
-        if ends_at < self._ends_at or not self._kept:
+    def _expire(self, grace_ends_at: float) -> None:
+        """Remove documents still missing, unless a later outage has extended the grace period."""
+        if grace_ends_at < self._ends_at or not self._retained:
             return
-        names, self._kept = sorted(self._kept), set()
+        names, self._retained = sorted(self._retained), set()
         logger.info(
-            "lapsed documents given up",
+            "expired documents removed after the grace period",
             code="lapsed_given_up",
             kind=str(self._kind),
-            documents=names[:NAMES],
+            documents=names[:MAX_LOGGED_NAMES],
             count=len(names),
-            kept_ms=int(self._keep_seconds * 1000),
+            kept_ms=int(self._grace_seconds * 1000),
         )
         for name in names:
-            self._give_up(name)
+            self._remove(name)
         self._expired += names
--- a/src/runkeel/state/observed_store.py
+++ b/src/runkeel/state/observed_store.py
@@ -1,4 +1,4 @@
-"""A document store that remembers whether its calls have been answered lately."""
+"""A document store wrapper that tracks outages and recoveries of the store."""
 
 from __future__ import annotations
 
@@ -23,71 +23,74 @@
 from runkeel.errors import RunkeelError
 
 PROBE_SECONDS = 0.4
-"""While the store fails, a node tries it so often that may have to coordinate."""
+"""Interval between calls to a failing store on a node that may become the coordinator."""
 
 FOLLOWER_PROBE_SECONDS = 1.5
-"""The same for a node that would rather follow: it learns from others that the store is back.
+"""Interval between calls to a failing store on a follower.
 
-There are many of them, and each call to a store that is away has its price.
+Longer, since followers are many and learn from other nodes that the store has recovered.
 """
 
 OUTAGE_SECONDS = 2.0
-"""After an outage of this length, from the first failure to the next answer, documents that need
-heartbeats may have lapsed: servers do after 3.6 s without one, the last of which may have been
-1.2 s before the outage (three heartbeats, and one, of the users' deployments).
+"""Minimum time from the first failure to the next response after which documents that need
+heartbeats may have expired. Server entries expire after 3.6 s without a heartbeat, and the last one
+may have been sent 1.2 s before the outage.
 """
 
-CERTAIN_OUTAGE_SECONDS = 0.5
-"""The failures of an outage span so long at the least: one lost connection fails all calls that
-wait on it at once. Below the shortest pause between two tries of an outage of 2 s, 0.8 s.
+MIN_FAILURE_SPAN_SECONDS = 0.5
+"""Minimum time between the first and the last failure of an outage. One lost connection fails all
+calls that wait on it at once, which is no outage. Below the shortest pause between two calls in an
+outage of 2 s (0.8 s).
 """
 
-RECENT_FAILURE_SECONDS = 3.0
-"""An answer shows when the store came back only if a call has failed so shortly before. Nodes that
-follow others try a store that is away each 1.5 s, and wait 1 s for its answer.
+MAX_FAILURE_AGE_SECONDS = 3.0
+"""Maximum age of the last failure for a response to tell when the store recovered. Followers call
+a failing store every 1.5 s and wait 1 s for the response.
 """
 
 
 class ObservedStore:
-    """Passes every call on to a store and notes how it ended.
+    """Forwards every call to a store and records whether the store responded.
 
     Args:
-        probe_seconds: while the store fails, it is tried so often.
+        probe_interval_seconds: returns the interval between calls while the store fails.
 
     Attributes:
-        failing_since: steady time of the first failure after the last answer, 0 when the last
-            call was answered.
-        returned_at: steady time of the first answer after the last outage that was long enough
-            for documents to lapse, 0 before the first one.
+        failing_since: steady time, in seconds, of the first failure after the last response; 0 if
+            the last call got a response.
+        returned_at: steady time, in seconds, of the first response after the last outage that was
+            long enough for documents to expire; 0 before the first one.
     """
 
     def __init__(
-        self, store: DocumentStore, probe_seconds: Callable[[], float] = lambda: PROBE_SECONDS
+        self,
+        store: DocumentStore,
+        probe_interval_seconds: Callable[[], float] = lambda: PROBE_SECONDS,
     ) -> None:
         self._store = store
-        self._probe_seconds = probe_seconds
+        self._probe_interval_seconds = probe_interval_seconds
         self.failing_since = 0.0
         self.returned_at = 0.0
         self._failed_at = 0.0
         self._next_probe_at = 0.0
-        self._regained = Event()
+        self._recovered = Event()
 
     @property
     def reachable(self) -> bool:
-        """Whether the last call was answered."""
+        """Whether the last call got a response."""
         return not self.failing_since
 
     def await_turn(self) -> None:
-        """Wait, while the store fails, until it is back or this caller may try it again.
+        """Wait until a failing store has recovered or the caller may probe it.
 
-        Of all tasks that wait only one at a time tries, since refused calls have their price.
+        Only one of the waiting tasks probes per interval, to limit the number of failing calls.
         """
         while self.failing_since:
             now = steady_seconds()
             if now >= self._next_probe_at:
-                self._next_probe_at = now + self._probe_seconds()
+                self._next_probe_at = now + self._probe_interval_seconds()
                 return
-            self._regained.wait(self._next_probe_at - now)
+            self._recovered.wait(self._next_probe_at - now)
 
     def list(
         self,
@@ -96,7 +99,7 @@
         freshness: Freshness = Freshness.CURRENT,
     ) -> DocumentList:
         """Return all documents of a kind."""
-        with self._observed():
+        with self._observe_call():
             return self._store.list(kind, timeout_seconds, freshness)
 
     def get(
@@ -107,7 +110,7 @@
         freshness: Freshness = Freshness.CURRENT,
     ) -> Document | None:
         """Return one document or None."""
-        with self._observed():
+        with self._observe_call():
             return self._store.get(kind, name, timeout_seconds, freshness)
 
     def create(
@@ -118,7 +121,7 @@
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> Document:
         """Create a document."""
-        with self._observed():
+        with self._observe_call():
             return self._store.create(kind, name, content, timeout_seconds)
 
     def replace(
@@ -130,7 +133,7 @@
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> Document:
         """Replace the content if the revision is the expected one."""
-        with self._observed():
+        with self._observe_call():
             return self._store.replace(kind, name, content, expected_revision, timeout_seconds)
 
     def set_status(
@@ -141,45 +144,45 @@
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> None:
         """Replace the status of a document that belongs to an operator."""
-        with self._observed():
+        with self._observe_call():
             self._store.set_status(kind, name, status, timeout_seconds)
 
     def delete(
         self, kind: DocumentKind, name: str, timeout_seconds: float = CALL_TIMEOUT_SECONDS
     ) -> None:
         """Remove a document."""
-        with self._observed():
+        with self._observe_call():
             self._store.delete(kind, name, timeout_seconds)
 
     def watch(self, kind: DocumentKind, revision: int, wait_seconds: float) -> DocumentChanges:
         """Wait for changes of a kind after a revision."""
-        with self._observed():
+        with self._observe_call():
             return self._store.watch(kind, revision, wait_seconds)
 
     @contextlib.contextmanager
-    def _observed(self) -> Iterator[None]:
-        """Note how a call ends."""
+    def _observe_call(self) -> Iterator[None]:
+        """Record the outcome of a call; conflicts and lost history count as responses."""
         try:
             yield
         except (DocumentConflictError, HistoryLostError):
-            self._answered()
+            self._on_response()
             raise
         except RunkeelError:
             self._failed_at = steady_seconds()
             self.failing_since = self.failing_since or self._failed_at
             raise
-        self._answered()
+        self._on_response()
 
-    def _answered(self) -> None:
+    def _on_response(self) -> None:
         if self.failing_since:
-            self._note_return(steady_seconds())
+            self._record_recovery(steady_seconds())
             self.failing_since = 0.0
-            self._regained.set()
-            self._regained = Event()
-
-    def _note_return(self, now: float) -> None:
-        """Take note of the end of an outage, if documents may have lapsed in it."""
-        long = now - self.failing_since >= OUTAGE_SECONDS
-        certain = self._failed_at - self.failing_since >= CERTAIN_OUTAGE_SECONDS
-        if long and certain and now - self._failed_at <= RECENT_FAILURE_SECONDS:
+            self._recovered.set()
+            self._recovered = Event()
+
+    def _record_recovery(self, now: float) -> None:
+        """Record a recovery if documents may have expired during the outage."""
+        long_enough = now - self.failing_since >= OUTAGE_SECONDS
+        span_long_enough = self._failed_at - self.failing_since >= MIN_FAILURE_SPAN_SECONDS
+        if long_enough and span_long_enough and now - self._failed_at <= MAX_FAILURE_AGE_SECONDS:
             self.returned_at = now
--- a/src/runkeel/state/unchanging.py
+++ b/src/runkeel/state/unchanging.py
@@ -1,4 +1,4 @@
-"""Reads documents that are never changed once they are made."""
+"""Reads immutable documents."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     name: str,
     timeout_seconds: float = CALL_TIMEOUT_SECONDS,
 ) -> Document | None:
-    """Return a document that is never changed; None when it is certain that there is none.
+    """Return an immutable document, or None if it does not exist.
 
-    An old answer that has it is as good as any. One that lacks it decides nothing: the document
-    may have been made since, so the current state is asked for.
+    Tries a read of any age first, since a stale copy of an immutable document is correct. If it
+    finds none, the document may have been created since, so a current read follows.
 
     Raises:
-        RunkeelError: the store gave no answer.
+        RunkeelError: the store did not respond.
     """
-    known = store.get(kind, name, timeout_seconds, Freshness.ANY_AGE)
-    if known is not None:
-        return known
+    document = store.get(kind, name, timeout_seconds, Freshness.ANY_AGE)
+    if document is not None:
+        return document
     return store.get(kind, name, timeout_seconds)
--- a/src/runkeel/state/unreadable_documents.py
+++ b/src/runkeel/state/unreadable_documents.py
@@ -1,6 +1,6 @@
-"""Tells the log which documents can't be read: once for each and its cause, however often it comes.
+"""Logs unreadable documents once per document and reason.
 
-Servers write their entries every second or so, and an entry that can't be read may stay for days.
+Servers rewrite their entries about every second, and an unreadable entry may persist for days.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 from runkeel.api.documents import DocumentKind
 from runkeel.metrics import UNREADABLE_DOCUMENTS
 
-MAXIMUM_REMEMBERED = 1_000
-"""Documents whose cause is remembered; a writer may make new names without end. 0.2 MB."""
+MAX_REMEMBERED_DOCUMENTS = 1_000
+"""Maximum number of documents whose reason is remembered; writers may create any number."""
 
 
 class UnreadableDocuments:
-    """What was last wrong with each document that can't be read."""
+    """The last reason why each unreadable document could not be read."""
 
     def __init__(self) -> None:
         self._reasons: OrderedDict[tuple[DocumentKind, str], str] = OrderedDict()
 
     def note(self, kind: DocumentKind, name: str, reason: str) -> bool:
-        """Take note of a document that can't be read; returns whether that is news."""
-        known = self._reasons.get((kind, name))
-        if known == reason:
+        """Record an unreadable document; returns whether the reason is new for it."""
+        previous = self._reasons.get((kind, name))
+        if previous == reason:
             return False
         self._reasons[kind, name] = reason
         self._reasons.move_to_end((kind, name))
-        if len(self._reasons) > MAXIMUM_REMEMBERED:
+        if len(self._reasons) > MAX_REMEMBERED_DOCUMENTS:
             self._reasons.popitem(last=False)
         UNREADABLE_DOCUMENTS.labels(str(kind)).inc()
         logger.warning(
-            "document can't be read",
+            "document is unreadable",
             code="bad_document",
             kind=str(kind),
             document=name,
             reason=reason,
-            before=known or "",
+            before=previous or "",
         )
         return True
 
     def note_readable(self, kind: DocumentKind, name: str) -> None:
-        """Take note of a document that can be read, or is gone."""
+        """Record that a document is readable or was removed."""
         if self._reasons and self._reasons.pop((kind, name), None) is not None:
             logger.info(
-                "document can be read again or is gone",
+                "document is readable again or was removed",
                 code="document_readable",
                 kind=str(kind),
                 document=name,
--- a/tests/base/test_observed_store.py
+++ b/tests/base/test_observed_store.py
@@ -1,4 +1,4 @@
-"""While the store fails, one task of a node tries it at a time."""
+"""Tests of outage detection and of shared probing while the store fails."""
 
 import unittest
 
@@ -9,10 +9,10 @@
 from runkeel.errors import RunkeelError
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.state.observed_store import (
-    CERTAIN_OUTAGE_SECONDS,
     FOLLOWER_PROBE_SECONDS,
+    MAX_FAILURE_AGE_SECONDS,
+    MIN_FAILURE_SPAN_SECONDS,
     OUTAGE_SECONDS,
-    RECENT_FAILURE_SECONDS,
     ObservedStore,
 )
 from runkeel_lab.standins.document_store import MemoryDocumentStore
@@ -28,7 +28,7 @@
         with self.assertRaises(RunkeelError):
             self.store.get(DocumentKind.JOB, "x")
 
-    def test_failure_and_return_are_noticed(self):
+    def test_failure_and_recovery_are_detected(self):
         self.assertTrue(self.store.reachable)
         self._fail()
         self.assertFalse(self.store.reachable)
@@ -36,35 +36,45 @@
         self.store.get(DocumentKind.JOB, "x")
         self.assertTrue(self.store.reachable)
 
-    def _fail_for(self, seconds, gap=0.0, ago=0.0):
-        """Let the store fail for so long; its last failure was so long ago."""
+    def _recover_after(self, seconds, quiet_seconds=0.0, ended_ago=0.0):
+        """Simulate an outage and a response; returns whether the recovery was recorded.
+
+        Args:
+            seconds: length of the outage.
+            quiet_seconds: time between the last failure and the end of the outage.
+            ended_ago: time between the end of the outage and the response.
+        """
         self._fail()
         now = steady_seconds()
-        self.store.failing_since = now - ago - seconds
-        self.store._failed_at = now - ago - gap
+        self.store.failing_since = now - ended_ago - seconds
+        self.store._failed_at = now - ended_ago - quiet_seconds
         self.memory.down = False
         self.store.get(DocumentKind.JOB, "x")
         return self.store.returned_at >= now
 
-    def test_return_after_an_outage_is_noted_once_for_all_copies(self):
-        """Copies that judged by their own tries disagreed: some dropped what others kept."""
-        self.assertTrue(self._fail_for(OUTAGE_SECONDS))
+    def test_recovery_after_an_outage_is_recorded(self):
+        """All copies of a node must agree on the recovery, or some drop what others retain."""
+        self.assertTrue(self._recover_after(OUTAGE_SECONDS))
 
-    def test_outage_that_was_tried_seldom_counts(self):
-        """A node that follows others may have failed twice only, 1.5 s before the answer."""
-        gap = FOLLOWER_PROBE_SECONDS + CALL_TIMEOUT_SECONDS - 0.1
-        self.assertTrue(self._fail_for(gap + CERTAIN_OUTAGE_SECONDS, gap))
+    def test_outage_with_few_probes_is_recorded(self):
+        """A follower may have seen only two failures, the last one 1.5 s before the response."""
+        quiet_seconds = FOLLOWER_PROBE_SECONDS + CALL_TIMEOUT_SECONDS - 0.1
+        self.assertTrue(
+            self._recover_after(quiet_seconds + MIN_FAILURE_SPAN_SECONDS, quiet_seconds)
+        )
 
-    def test_short_failure_is_no_outage(self):
-        self.assertFalse(self._fail_for(OUTAGE_SECONDS - 0.1))
+    def test_short_failure_is_not_an_outage(self):
+        self.assertFalse(self._recover_after(OUTAGE_SECONDS - 0.1))
 
-    def test_lost_connection_that_is_noticed_late_is_no_outage(self):
-        self.assertFalse(self._fail_for(OUTAGE_SECONDS, gap=OUTAGE_SECONDS))
+    def test_lost_connection_detected_late_is_not_an_outage(self):
+        self.assertFalse(self._recover_after(OUTAGE_SECONDS, quiet_seconds=OUTAGE_SECONDS))
 
-    def test_return_that_may_have_been_long_ago_is_not_noted(self):
-        self.assertFalse(self._fail_for(OUTAGE_SECONDS, ago=RECENT_FAILURE_SECONDS + 0.1))
+    def test_recovery_with_an_old_last_failure_is_not_recorded(self):
+        self.assertFalse(
+            self._recover_after(OUTAGE_SECONDS, ended_ago=MAX_FAILURE_AGE_SECONDS + 0.1)
+        )
 
-    def test_conflict_is_an_answer(self):
+    def test_conflict_counts_as_a_response(self):
         self._fail()
         self.memory.down = False
         self.memory.put(DocumentKind.JOB, "x", 1)
@@ -72,27 +82,27 @@
             self.store.create(DocumentKind.JOB, "x", 1)
         self.assertTrue(self.store.reachable)
 
-    def test_node_that_follows_others_tries_less_often(self):
-        """shifted trouble-3: 60 nodes made 1,166 calls in vain in an outage of 5.2 s."""
-        tries = 0
+    def test_probe_interval_limits_calls(self):
+        """Many followers must not load a failing store with probes."""
+        attempts = 0
         store = ObservedStore(self.memory, lambda: 0.6)
         self.memory.down = True
         with self.assertRaises(RunkeelError):
             store.get(DocumentKind.JOB, "x")
 
-        def keep_trying():
-            nonlocal tries
+        def probe_repeatedly():
+            nonlocal attempts
             while True:
                 store.await_turn()
-                tries += 1
+                attempts += 1
 
-        task = gevent.spawn(keep_trying)
+        task = gevent.spawn(probe_repeatedly)
         gevent.sleep(1.4)
         task.kill()
-        self.assertLessEqual(tries, 3)
+        self.assertLessEqual(attempts, 3)
 
-    def test_many_watchers_make_few_calls_during_an_outage(self):
-        """sirca trouble-1: 2,639 calls, most of them refused ones of an outage of 4.2 s."""
+    def test_watchers_share_probes_during_an_outage(self):
+        """The watchers of a node must not each probe a failing store."""
         kinds = list(DocumentKind)
         watchers = [DocumentWatcher(self.store, kind, lambda *change: None) for kind in kinds]
         for watcher in watchers:
--- a/tests/quarantine/test_trials.py
+++ b/tests/quarantine/test_trials.py
@@ -18,7 +18,7 @@
         self.ledger = CrashLedger(lambda: self.now)
         self.arbiter = TrialArbiter(self.ledger, lambda: self.now)
 
-    def hold(self, fingerprint, service="ledger"):
+    def quarantine_request(self, fingerprint, service="ledger"):
         for number in range(3):
             self.ledger.note_ended(fingerprint, service, f"{fingerprint}{number}")
         return self.ledger.get(fingerprint)
@@ -27,7 +27,7 @@
         return self.arbiter.ask(self.ledger.get(fingerprint), "node")
 
     def test_first_trial_is_granted_immediately_and_later_ones_after_a_delay(self):
-        self.hold("f")
+        self.quarantine_request("f")
         for number, pause in enumerate(TRIAL_DELAYS_SECONDS):
             if pause:
                 self.now += pause - 0.1
@@ -41,9 +41,9 @@
         self.assertFalse(self.ask("f").granted)
 
     def test_only_one_request_per_service_is_on_trial(self):
-        self.hold("f")
-        self.hold("g")
-        self.hold("other", "engines")
+        self.quarantine_request("f")
+        self.quarantine_request("g")
+        self.quarantine_request("other", "engines")
         self.assertTrue(self.ask("f").granted)
         self.assertEqual(self.ask("g").retry_after_seconds, BUSY_RETRY_SECONDS)
         self.assertTrue(self.ask("other").granted)
@@ -51,21 +51,21 @@
         self.assertTrue(self.ask("g").granted)
 
     def test_trial_without_outcome_times_out(self):
-        self.hold("f")
-        self.hold("g")
+        self.quarantine_request("f")
+        self.quarantine_request("g")
         self.ask("f")
         self.now += TRIAL_TIMEOUT_SECONDS
         self.assertTrue(self.ask("g").granted)
 
     def test_trial_that_reached_no_server_is_not_counted(self):
-        self.hold("f")
+        self.quarantine_request("f")
         for _ in range(5):
             self.assertTrue(self.ask("f").granted)
             self.ledger.note_trial_returned("f")
         self.assertEqual(self.ledger.get("f").trials_used, 0)
 
     def test_cleared_request_needs_no_trial(self):
-        record = self.hold("f")
+        record = self.quarantine_request("f")
         self.ledger.clear("f")
         self.assertTrue(self.arbiter.ask(record, "node").granted)
         self.assertEqual(self.ledger.get("f").trials, 0)
