--- a/src/runkeel/usage/__init__.py
+++ b/src/runkeel/usage/__init__.py
@@ -1,7 +1,7 @@
-"""Counting the requests of each tenant, and reporting the counts once for each window of time.
+"""Counts requests by tenant and reports the counts once for each time window.
 
-A node counts what servers began to run for it (:mod:`runkeel.usage.meter`) and tells its counts to
-the coordinator (:mod:`runkeel.usage.teller`). The coordinator gathers them in a ledger
-(:mod:`runkeel.usage.ledger`) that stands in the store, decides there once what is reported of a
+Each node counts the requests that servers started for it (:mod:`runkeel.usage.meter`) and sends the
+counts to the coordinator (:mod:`runkeel.usage.teller`). The coordinator collects them in a ledger
+(:mod:`runkeel.usage.ledger`) persisted in the store, decides there once what is reported for a
 window, and reports it under the order lease (:mod:`runkeel.usage.duty`).
 """
--- a/src/runkeel/usage/clock.py
+++ b/src/runkeel/usage/clock.py
@@ -1,4 +1,4 @@
-"""The time of day, without the jumps that a machine's clock may make."""
+"""Wall-clock time without the jumps of the machine's clock."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 from runkeel.clock import steady_seconds
 
-SAMPLES = 61
-"""The clock goes by the median of so many comparisons with the steady clock, one a second.
+SAMPLE_COUNT = 61
+"""Number of offsets between wall clock and steady clock of which the median is used.
 
-A clock that jumps and is set right within half a minute moves nothing.
+A jump of the wall clock that is corrected within half of these samples has no effect.
 """
 
-SAMPLE_SECONDS = 1.0
-"""Time between two comparisons."""
+SAMPLE_INTERVAL_SECONDS = 1.0
+"""Time between two samples."""
 
 
 class SteadyWallClock:
-    """Seconds since the epoch, carried on by the machine's steady clock."""
+    """Seconds since the Unix epoch, derived from the machine's steady clock."""
 
     def __init__(self) -> None:
-        self._offsets: deque[float] = deque(maxlen=SAMPLES)
-        self._sampled_at = -SAMPLE_SECONDS
+        self._offsets: deque[float] = deque(maxlen=SAMPLE_COUNT)
+        self._sampled_at = -SAMPLE_INTERVAL_SECONDS
         self._offset = 0.0
 
     def time(self) -> float:
-        """Return the seconds since the epoch."""
+        """Return the seconds since the Unix epoch."""
         now = steady_seconds()
-        if not self._offsets or now - self._sampled_at >= SAMPLE_SECONDS:
+        if not self._offsets or now - self._sampled_at >= SAMPLE_INTERVAL_SECONDS:
             self._sampled_at = now
             self._offsets.append(time.time() - now)
             self._offset = statistics.median(self._offsets)
--- a/src/runkeel/usage/duty.py
+++ b/src/runkeel/usage/duty.py
@@ -1,4 +1,4 @@
-"""The coordinator's part: gathers the nodes' counts, decides windows and reports them."""
+"""The coordinator's usage duty: collects the nodes' counts, decides windows and reports them."""
 
 from __future__ import annotations
 
@@ -18,61 +18,61 @@
 from runkeel.usage.ledger import UsageLedger, WindowSummary
 from runkeel.wire.generated.jobs.ttypes import UsageCounts, UsageCountsReply
 
-CHECKPOINT_SECONDS = 0.5
-"""New counts stand in the store so soon: they are lost only with their node and the coordinator.
+MIN_CHECKPOINT_INTERVAL_SECONDS = 0.5
+"""Minimum time between two writes of the ledger.
 
-At the price of a call to the store every half second while there are requests.
+Counts not written yet are lost only if both their node and the coordinator crash.
 """
 
 CHECKPOINT_BYTES_PER_SECOND = 200_000
-"""A large ledger is written less often: the coordinator's link and the store bear other calls."""
+"""Maximum write rate; a large ledger is written less often, to limit load on link and store."""
 
-DECISION_SHARE = 0.5
-"""A window is decided so far into the time after which its report would be late, at the latest.
+DECISION_DEADLINE_FRACTION = 0.5
+"""Fraction of the allowed report delay after which a window is decided even if incomplete.
 
-A node that was cut off has until then to tell its counts; the rest is for a new holder, who may
-have to wait out the lease of the one before.
+Partitioned nodes have until then to send their counts. The rest is reserved for a new coordinator,
+which may have to wait until its predecessor's lease expires.
 """
 
-SETTLED_SECONDS = 0.3
-"""A window is decided no sooner than so long after its end."""
+MIN_DECISION_DELAY_SECONDS = 0.3
+"""Minimum time between the end of a window and its decision."""
 
-EXPECTED_WINDOWS = 3
-"""A source that told something so few windows ago is waited for."""
+ACTIVE_SOURCE_WINDOWS = 3
+"""A source that sent counts within this many windows must complete a window before its decision."""
 
-REPORT_SECONDS = 1.0
-"""Longest wait for the platform's answer to a report."""
+REPORT_TIMEOUT_SECONDS = 1.0
+"""Time-out of a report to the platform."""
 
-REPORT_RETRY_SECONDS = 0.3
-"""Pause before a report is tried again; far below the platform's rate of duty calls."""
+REPORT_RETRY_DELAY_SECONDS = 0.3
+"""Delay before a failed report is retried; keeps well below the platform's limit of duty calls."""
 
-STORE_RETRY_SECONDS = 0.2
-"""Pause before the ledger is read or written again."""
+STORE_RETRY_DELAY_SECONDS = 0.2
+"""Delay before a failed read or write of the ledger is retried."""
 
-TELLINGS_PER_SECOND = 400
-"""Nodes tell their counts less often where there are so many that more messages would come."""
+MAX_UPDATES_PER_SECOND = 400
+"""Maximum rate of updates from all nodes together; larger fleets send counts less often."""
 
-_TURN_SECONDS = 0.1
+_POLL_INTERVAL_SECONDS = 0.1
 
 
 @dataclass(slots=True)
 class _Source:
-    """A node's process that counts."""
+    """A node's process that sends counts; times in seconds since the Unix epoch."""
 
-    heard_at: float
+    last_update_at: float
     complete_before: float
 
 
 class UsageDuty:
-    """Reports usage while this node coordinates; made anew for each term.
+    """Reports usage during one term of this node as coordinator; a new one is created per term.
 
     Args:
         epoch: the term.
-        lease: proves that no other node makes the duty's calls.
-        holder: this node, as the platform is told.
-        clock: seconds since the epoch.
-        nodes: how many nodes there are, roughly.
-        silent_nodes: how many of them have been silent for a moment: they may have counted, too.
+        lease: ensures that no other node makes the duty's calls.
+        holder: name of this node in calls to the platform.
+        clock: returns the seconds since the Unix epoch.
+        nodes: returns the approximate number of nodes.
+        silent_nodes: returns the number of nodes not heard from recently, which may have counts.
     """
 
     def __init__(
@@ -98,30 +98,30 @@
         self._holder = holder
         self._clock = clock
         self._nodes = nodes
-        self._began_at = clock()
+        self._started_at = clock()
         self._ledger = UsageLedger(epoch)
         self._revision = 0
-        """Of the ledger's document as this term read or wrote it last; 0: not read yet."""
+        """Revision of the ledger's document last read or written in this term; 0 before."""
         self._written_bytes = 0
         self._written_at = 0.0
         self._dirty = False
         self._confirmed: dict[int, dict[str, int]] = {}
-        """Decided windows that stand in the store and are to be reported."""
+        """Counts of decided windows that are persisted in the store but not reported yet."""
         self._sources: dict[str, _Source] = {}
-        self._to_report = Event()
+        self._reports_pending = Event()
         self._tasks: list[gevent.Greenlet] = []
 
     @property
     def ledger(self) -> UsageLedger:
-        """What is known."""
+        """The current ledger."""
         return self._ledger
 
     def windows(self) -> list[WindowSummary]:
-        """Return what operators are shown of each window, the oldest first."""
+        """Return summaries of all windows for operators, oldest first."""
         ledger = self._ledger
         return [
             *(self._summary(window, counts) for window, counts in sorted(ledger.decided.items())),
-            *(self._summary(one, ledger.counts_so_far(one)) for one in sorted(ledger.open)),
+            *(self._summary(one, ledger.current_counts(one)) for one in sorted(ledger.open)),
         ]
 
     def _summary(self, window: int, counts: dict[str, int]) -> WindowSummary:
@@ -132,21 +132,20 @@
         return WindowSummary(window, state, sum(counts.values()), len(counts), ended_ms_ago)
 
     def start(self) -> None:
-        """Start to gather and to report."""
-        self._tasks = [gevent.spawn(self._keep_ledger), gevent.spawn(self._report_all)]
+        """Start the tasks that update the ledger and report windows."""
+        self._tasks = [gevent.spawn(self._run_ledger), gevent.spawn(self._report_all)]
 
     def stop(self) -> None:
-        """Decide and report nothing more."""
         for task in self._tasks:
             task.kill(block=False)
 
     def take(self, message: UsageCounts) -> UsageCountsReply:
-        """Take a node's counts."""
+        """Merge a node's counts."""
         for window in message.windows:
-            late = self._ledger.missed(window.number, window.counts)
+            late = self._ledger.late_requests(window.number, window.counts)
             if late:
                 logger.info(
-                    "usage came too late",
+                    "usage counts received after their window was decided",
                     code="usage_late",
                     source=message.source,
                     window=window.number,
@@ -155,30 +154,32 @@
             if self._ledger.merge(window.number, message.source, window.counts):
                 self._dirty = True
         self._sources[message.source] = _Source(self._clock(), message.complete_before_ms / 1000.0)
-        pause = self._nodes() / TELLINGS_PER_SECOND
+        pause = self._nodes() / MAX_UPDATES_PER_SECOND
         return UsageCountsReply(True, int(pause * 1000))
 
     # The ledger
 
-    def _keep_ledger(self) -> None:
+    def _run_ledger(self) -> None:
         self._load()
         while True:
-            gevent.sleep(_TURN_SECONDS)
+            gevent.sleep(_POLL_INTERVAL_SECONDS)
             decided = self._decide_due()
-            if decided or (self._dirty and self._may_write()):
+            if decided or (self._dirty and self._write_allowed()):
                 self._write()
 
-    def _may_write(self) -> bool:
-        pause = max(CHECKPOINT_SECONDS, self._written_bytes / CHECKPOINT_BYTES_PER_SECOND)
+    def _write_allowed(self) -> bool:
+        pause = max(
+            MIN_CHECKPOINT_INTERVAL_SECONDS, self._written_bytes / CHECKPOINT_BYTES_PER_SECOND
+        )
         return steady_seconds() - self._written_at >= pause
 
     def _load(self) -> None:
-        """Read the ledger of the terms before, and write this term into it."""
+        """Load or create the ledger, and write this term's epoch into it."""
         while True:
             try:
                 document = self._store.get(DocumentKind.USAGE_LEDGER, self._name)
                 if document is None:
-                    self._ledger.decided_through = self._window_of(self._began_at) - 1
+                    self._ledger.decided_through = self._window_of(self._started_at) - 1
                     content = self._ledger.encode()
                     document = self._store.create(DocumentKind.USAGE_LEDGER, self._name, content)
                 self._adopt(document)
@@ -187,17 +188,17 @@
                 logger.info(
                     "usage ledger not read yet", code="usage_delayed", error=str(error.code)
                 )
-                gevent.sleep(STORE_RETRY_SECONDS)
+                gevent.sleep(STORE_RETRY_DELAY_SECONDS)
         self._write()
 
     def _adopt(self, document: Document) -> None:
-        """Go by what stands in the store; what nodes have told this term is added to it."""
-        told, reported = self._ledger.open, self._ledger.reported
+        """Replace the ledger by the stored one, merged with the counts received in this term."""
+        open_counts, reported = self._ledger.open, self._ledger.reported
         self._ledger = UsageLedger.decode(document.content)
         self._ledger.epoch = max(self._epoch, self._ledger.epoch)
         self._ledger.reported |= reported & set(self._ledger.decided)
         self._revision = document.revision
-        for window, sources in told.items():
+        for window, sources in open_counts.items():
             for source, counts in sources.items():
                 self._ledger.merge(window, source, counts)
         self._confirm()
@@ -205,10 +206,10 @@
     def _confirm(self) -> None:
         for window in self._ledger.unreported():
             self._confirmed.setdefault(window, self._ledger.decided[window])
-        self._to_report.set()
+        self._reports_pending.set()
 
     def _decide_due(self) -> bool:
-        """Decide the windows that are complete, or can't wait any longer."""
+        """Decide the windows that are complete or due; returns whether there were any."""
         decided = False
         while self._is_due(self._ledger.decided_through + 1):
             window = self._ledger.decided_through + 1
@@ -227,26 +228,26 @@
 
     def _is_due(self, window: int) -> bool:
         now, end = self._clock(), self._end_of(window)
-        if now >= end + DECISION_SHARE * self._settings.late_seconds:
+        if now >= end + DECISION_DEADLINE_FRACTION * self._settings.late_seconds:
             return True
-        return now >= end + SETTLED_SECONDS and self._is_complete(window, end)
+        return now >= end + MIN_DECISION_DELAY_SECONDS and self._is_complete(window, end)
 
     def _is_complete(self, window: int, end: float) -> bool:
-        """Return whether every node that counts has told all of a window."""
-        if self._began_at > end - self._settings.window_seconds:
-            # A node of which this term has not heard yet may have counted.
+        """Return whether all active sources have sent their complete counts of a window."""
+        if self._started_at > end - self._settings.window_seconds:
+            # The window began before this term: sources unknown to this term may have counts.
             return False
         if self._silent_nodes():
             return False
-        expected_since = end - EXPECTED_WINDOWS * self._settings.window_seconds
+        expected_since = end - ACTIVE_SOURCE_WINDOWS * self._settings.window_seconds
         return all(
             source.complete_before >= end
             for source in self._sources.values()
-            if source.heard_at >= expected_since
+            if source.last_update_at >= expected_since
         )
 
     def _write(self) -> None:
-        """Replace the ledger; what was decided counts once this is confirmed."""
+        """Write the ledger; decided windows are reported only after a successful write."""
         self._dirty = False
         content = self._ledger.encode()
         started = steady_seconds()
@@ -255,29 +256,29 @@
                 DocumentKind.USAGE_LEDGER, self._name, content, self._revision
             )
         except DocumentConflictError as conflict:
-            self._settle(conflict)
+            self._resolve_conflict(conflict)
             return
         except RunkeelError as error:
             self._dirty = True
             logger.info("usage ledger not written yet", code="usage_delayed", error=str(error.code))
-            gevent.sleep(STORE_RETRY_SECONDS)
+            gevent.sleep(STORE_RETRY_DELAY_SECONDS)
             return
         self._revision = stored.revision
         self._written_at = started
         self._written_bytes = len(str(content))
         self._confirm()
 
-    def _settle(self, conflict: DocumentConflictError) -> None:
-        """Another write came first: an unanswered one of this term, or a later term's."""
+    def _resolve_conflict(self, conflict: DocumentConflictError) -> None:
+        """Handle a conflicting write: an unacknowledged one of this term, or a later term's."""
         self._dirty = True
         current = conflict.current
         if current is None or current.content is None:
-            current = self._store_copy()
+            current = self._read_document()
         if current is None:
             return
         if int(current.content["epoch"]) > self._epoch:
             logger.info(
-                "usage ledger taken over",
+                "usage ledger taken over by a later term",
                 code="usage_superseded",
                 epoch=self._epoch,
                 by=current.content["epoch"],
@@ -286,12 +287,12 @@
             return
         self._adopt(current)
 
-    def _store_copy(self) -> Document | None:
+    def _read_document(self) -> Document | None:
         try:
             return self._store.get(DocumentKind.USAGE_LEDGER, self._name)
         except RunkeelError as error:
             logger.info("usage ledger not read yet", code="usage_delayed", error=str(error.code))
-            gevent.sleep(STORE_RETRY_SECONDS)
+            gevent.sleep(STORE_RETRY_DELAY_SECONDS)
             return None
 
     def _window_of(self, at: float) -> int:
@@ -304,14 +305,14 @@
 
     def _report_all(self) -> None:
         while True:
-            self._to_report.wait()
-            self._to_report.clear()
+            self._reports_pending.wait()
+            self._reports_pending.clear()
             while self._confirmed:
                 if not self._report(min(self._confirmed)):
-                    gevent.sleep(REPORT_RETRY_SECONDS)
+                    gevent.sleep(REPORT_RETRY_DELAY_SECONDS)
 
     def _report(self, window: int) -> bool:
-        """Report a window; False when it is to be tried again."""
+        """Report a window; returns False if it must be retried."""
         started = steady_seconds()
         try:
             self._lease.confirm()
@@ -321,7 +322,7 @@
                 self._lease.confirm()
             holder = DutyHolder(self._holder, self._lease.token)
             report = UsageReport(window, self._confirmed[window])
-            self._platform.report_usage(report, holder, REPORT_SECONDS, self._lease.check)
+            self._platform.report_usage(report, holder, REPORT_TIMEOUT_SECONDS, self._lease.check)
         except RunkeelError as error:
             USAGE_REPORTS.labels(str(error.code)).inc()
             logger.info(
--- a/src/runkeel/usage/ledger.py
+++ b/src/runkeel/usage/ledger.py
@@ -1,8 +1,8 @@
-"""What is known of each window's usage, and what was decided to be reported of it.
+"""Usage counts of each window, and the final counts decided for its report.
 
-The ledger is one document in the store, replaced on condition of its revision. A window is decided
-by a replacement that names its counts: whoever coordinates later finds them there, and reports
-these and no others.
+The ledger is one document in the store, replaced only if its revision is unchanged. A window is
+decided by a replacement that contains its final counts, so that every later coordinator reports
+exactly these.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-KEPT_DECISIONS = 8
-"""Decided windows that stay in the ledger; a later holder of the duty may report them again."""
+MAX_DECIDED_WINDOWS = 8
+"""Number of decided windows kept in the ledger; a later coordinator may report them again."""
 
 Counts = dict[str, int]
-"""Requests by tenant."""
+"""Number of requests by tenant."""
 
 
 @dataclass(frozen=True, slots=True)
 class WindowSummary:
-    """A window as operators see it; ``state`` is ``open``, ``decided`` or ``reported``."""
+    """A window as shown to operators; ``state`` is ``open``, ``decided`` or ``reported``."""
 
     window: int
     state: str
@@ -33,11 +33,11 @@
     """Counts by window.
 
     Attributes:
-        epoch: term of the coordinator that wrote it last.
-        decided_through: the last window that is decided; what comes of it or before is too late.
-        decided: the latest decided windows, with what is reported of them.
-        open: what nodes' processes told of the windows that are not decided, by window and source.
-        reported: decided windows of which the platform has confirmed the report.
+        epoch: term of the coordinator that wrote the ledger last.
+        decided_through: the last decided window; later counts for it or earlier ones are dropped.
+        decided: final counts of the most recently decided windows.
+        open: counts of the undecided windows, by window and source (a node's process).
+        reported: decided windows whose report the platform has confirmed.
     """
 
     epoch: int = 0
@@ -47,9 +47,9 @@
     reported: set[int] = field(default_factory=set)
 
     def merge(self, window: int, source: str, counts: Counts) -> bool:
-        """Take what a source has counted in a window in all; False when that is too late or known.
+        """Merge a source's total counts of a window; returns whether the ledger changed.
 
-        Counts only grow, so that of two the larger is the later.
+        Counts only grow, so the larger of two values is the newer one.
         """
         if window <= self.decided_through:
             return False
@@ -62,34 +62,34 @@
         return changed
 
     def decide(self, window: int) -> Counts:
-        """Decide the next window: what is known of it now is what will be reported."""
+        """Decide the next window: its current counts become final and are returned."""
         if window != self.decided_through + 1:
-            raise ValueError(f"window {window} follows {self.decided_through}")
-        counts = self.counts_so_far(window)
+            raise ValueError(f"cannot decide window {window}: last decided {self.decided_through}")
+        counts = self.current_counts(window)
         self.open.pop(window, None)
         self.decided[window] = counts
         self.decided_through = window
-        for old in sorted(self.decided)[:-KEPT_DECISIONS]:
+        for old in sorted(self.decided)[:-MAX_DECIDED_WINDOWS]:
             del self.decided[old]
         self.reported &= set(self.decided)
         return counts
 
-    def missed(self, window: int, counts: Counts) -> int:
-        """Return how many requests of a decided window came too late to be reported."""
+    def late_requests(self, window: int, counts: Counts) -> int:
+        """Return how many requests of a decided window are missing from its final counts."""
         decided = self.decided.get(window)
         if decided is None:
             return 0
         return sum(max(0, count - decided.get(tenant, 0)) for tenant, count in counts.items())
 
     def unreported(self) -> list[int]:
-        """Return the decided windows that are still to be reported, in order."""
+        """Return the decided windows not reported yet, in order."""
         return sorted(set(self.decided) - self.reported)
 
-    def counts_so_far(self, window: int) -> Counts:
-        """Return what is known of a window that is not decided."""
+    def current_counts(self, window: int) -> Counts:
+        """Return the current counts of an undecided window."""
         counts: Counts = {}
-        for told in self.open.get(window, {}).values():
-            for tenant, count in told.items():
+        for source_counts in self.open.get(window, {}).values():
+            for tenant, count in source_counts.items():
                 counts[tenant] = counts.get(tenant, 0) + count
         return counts
 
@@ -100,8 +100,8 @@
             "decided_through": self.decided_through,
             "decided": {str(window): dict(counts) for window, counts in self.decided.items()},
             "open": {
-                str(window): {source: dict(counts) for source, counts in told.items()}
-                for window, told in self.open.items()
+                str(window): {source: dict(counts) for source, counts in sources.items()}
+                for window, sources in self.open.items()
             },
             "reported": sorted(self.reported),
         }
@@ -114,8 +114,8 @@
             decided_through=int(content["decided_through"]),
             decided={int(window): dict(counts) for window, counts in content["decided"].items()},
             open={
-                int(window): {source: dict(counts) for source, counts in told.items()}
-                for window, told in content["open"].items()
+                int(window): {source: dict(counts) for source, counts in sources.items()}
+                for window, sources in content["open"].items()
             },
             reported={int(window) for window in content["reported"]},
         )
--- a/src/runkeel/usage/meter.py
+++ b/src/runkeel/usage/meter.py
@@ -1,4 +1,4 @@
-"""Counts at a node which requests servers began to run, by tenant and window of time."""
+"""Counts a node's requests that servers started, by tenant and time window."""
 
 from __future__ import annotations
 
@@ -8,72 +8,72 @@
 
 from gevent.event import Event
 
-KEPT_SECONDS = 60.0
-"""Counts are kept for so long after their window: whoever coordinates next asks for them anew.
+RETENTION_SECONDS = 60.0
+"""Retention of counts after the end of their window; a new coordinator receives them again.
 
-Chosen: six times the ten seconds within which the platform wants a window's report.
+Several times the 10 s within which the platform expects the report of a window.
 """
 
 
 class UsageMeter:
-    """Counts each request once, in the window in which a server first got it.
+    """Counts each request once, in the window in which a server first received it.
 
     Args:
-        window_seconds: length of a window; 0: nothing is counted.
-        clock: seconds since the epoch.
+        window_seconds: length of a window in seconds; 0 disables counting.
+        clock: returns the seconds since the Unix epoch.
 
     Attributes:
-        news: set when a count has changed.
+        changed: set when a count has changed.
     """
 
     def __init__(self, window_seconds: float, clock: Callable[[], float]) -> None:
         self.window_seconds = window_seconds
         self._clock = clock
         self._counts: dict[int, Counter[str]] = {}
-        self._open: dict[int, float] = {}
-        """Requests of which it isn't known yet whether they ran: when each came."""
+        self._started_at: dict[int, float] = {}
+        """Start times of requests in flight that may still be counted, by number."""
         self._numbers = itertools.count(1)
-        self.news = Event()
+        self.changed = Event()
 
     def now(self) -> float:
-        """Return the seconds since the epoch."""
+        """Return the seconds since the Unix epoch."""
         return self._clock()
 
     def window_of(self, at: float) -> int:
-        """Return the number of the window that holds a time."""
+        """Return the number of the window that contains a time."""
         return int(at // self.window_seconds)
 
     def open(self, tenant: str) -> int:
-        """Take note of a request that may come to run; returns its number."""
+        """Register a request that may run; returns its number, 0 if it will not be counted."""
         if not tenant or not self.window_seconds:
             return 0
         number = next(self._numbers)
-        self._open[number] = self._clock()
+        self._started_at[number] = self._clock()
         return number
 
     def close(self, number: int, tenant: str, began_at: float | None) -> None:
-        """Count a request.
+        """Count a request if a server received it.
 
         Args:
-            number: as :meth:`open` returned it.
-            began_at: when a server got it, in seconds since the epoch; None: none ran it.
+            number: returned by :meth:`open`.
+            began_at: when a server received it, in seconds since the Unix epoch; None if none did.
         """
-        if self._open.pop(number, None) is None or began_at is None:
+        if self._started_at.pop(number, None) is None or began_at is None:
             return
         self._counts.setdefault(self.window_of(began_at), Counter())[tenant] += 1
-        self._forget_old()
-        self.news.set()
+        self._remove_expired()
+        self.changed.set()
 
     def windows(self) -> dict[int, dict[str, int]]:
-        """Return the counts that are kept, by window and tenant."""
+        """Return the retained counts by window and tenant."""
         return {window: dict(counts) for window, counts in self._counts.items()}
 
     @property
     def complete_before(self) -> float:
-        """What began before this time, in seconds since the epoch, is counted."""
-        return min(self._open.values(), default=self._clock())
+        """Time, in seconds since the Unix epoch, before which the counts are complete."""
+        return min(self._started_at.values(), default=self._clock())
 
-    def _forget_old(self) -> None:
-        oldest = self.window_of(self._clock() - KEPT_SECONDS)
+    def _remove_expired(self) -> None:
+        oldest = self.window_of(self._clock() - RETENTION_SECONDS)
         for window in [one for one in self._counts if one < oldest]:
             del self._counts[window]
--- a/src/runkeel/usage/teller.py
+++ b/src/runkeel/usage/teller.py
@@ -1,4 +1,4 @@
-"""Tells a node's counts to the coordinator, soon after they change."""
+"""Sends a node's usage counts to the coordinator shortly after they change."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from runkeel.wire.generated.jobs.ttypes import UsageCounts, UsageCountsReply, UsageWindow
 from runkeel.wire.network import PeerNetwork
 
-GATHER_SECONDS = 0.1
-"""Counts are told so soon after a change: what is not told yet is lost with the node."""
+SEND_DELAY_SECONDS = 0.1
+"""Delay between a change and sending it; unsent counts are lost if the node crashes."""
 
-CALL_SECONDS = 0.6
-"""Longest wait for the coordinator's answer."""
+CALL_TIMEOUT_SECONDS = 0.6
+"""Time-out of a call to the coordinator."""
 
-RETRY_SECONDS = 0.25
-"""Pause before counts are told again that the coordinator did not take."""
+RETRY_DELAY_SECONDS = 0.25
+"""Delay before counts that the coordinator did not accept are sent again."""
 
-CLOSING_SECONDS = 0.1
-"""So long after a window's end a node that counted lately says that it has told all of it."""
+WINDOW_END_DELAY_SECONDS = 0.1
+"""Delay after a window's end before a recently active node reports its counts as complete."""
 
-RECENT_WINDOWS = 3
-"""A node that counted nothing in so many windows says nothing."""
+ACTIVE_WINDOWS = 3
+"""A node without counts in this many recent windows sends no updates."""
 
 
 class UsageTeller:
-    """One task that tells the coordinator what it lacks of this node's counts.
+    """Task that sends the coordinator the counts that it has not acknowledged.
 
     Args:
-        source: names this process: counts of another one are added to its own.
-        coordinator: the coordinator as this node knows it, which may be this node.
+        source: unique name of this process; the counts of different sources are added up.
+        coordinator: returns the coordinator as known to this node, which may be this node itself.
     """
 
     def __init__(
@@ -53,93 +53,101 @@
         self._source = source
         self._meter = meter
         self._coordinator = coordinator
-        self._told_epoch = 0
-        self._told: dict[int, dict[str, int]] = {}
-        self._told_complete = 0.0
-        self._pause = GATHER_SECONDS
+        self._acknowledged_epoch = 0
+        self._acknowledged: dict[int, dict[str, int]] = {}
+        self._acknowledged_complete_before = 0.0
+        self._send_delay = SEND_DELAY_SECONDS
         self._failing = False
         self._task = BackgroundTask(self._run)
 
     def start(self) -> None:
-        """Start to tell."""
         self._task.start()
 
     def stop(self) -> None:
-        """Tell no more."""
         self._task.stop()
 
     def flush(self) -> None:
-        """Tell what is not told yet: this node is about to stop."""
-        known = self._coordinator()
-        if known is not None and self._lacking(known):
-            self._tell(known)
+        """Send unacknowledged counts before this node stops."""
+        target = self._coordinator()
+        if target is not None and self._unacknowledged(target):
+            self._send(target)
 
     def _run(self) -> None:
         while True:
-            self._meter.news.wait(self._seconds_to_closing())
-            self._meter.news.clear()
-            gevent.sleep(self._pause)
-            known = self._coordinator()
-            if known is None or not self._anything_to_tell(known):
+            self._meter.changed.wait(self._seconds_to_window_end())
+            self._meter.changed.clear()
+            gevent.sleep(self._send_delay)
+            target = self._coordinator()
+            if target is None or not self._update_due(target):
                 continue
-            if not self._tell(known):
-                gevent.sleep(RETRY_SECONDS)
-                self._meter.news.set()
+            if not self._send(target):
+                gevent.sleep(RETRY_DELAY_SECONDS)
+                self._meter.changed.set()
 
-    def _seconds_to_closing(self) -> float:
+    def _seconds_to_window_end(self) -> float:
         seconds = self._meter.window_seconds
-        return seconds - self._meter.now() % seconds + CLOSING_SECONDS
+        return seconds - self._meter.now() % seconds + WINDOW_END_DELAY_SECONDS
 
-    def _anything_to_tell(self, known: Coordinator) -> bool:
-        if self._lacking(known):
+    def _update_due(self, target: Coordinator) -> bool:
+        if self._unacknowledged(target):
             return True
         current = self._meter.window_of(self._meter.now())
-        recent = any(one >= current - RECENT_WINDOWS for one in self._meter.windows())
-        return recent and self._meter.window_of(self._told_complete) < current
+        recent = any(one >= current - ACTIVE_WINDOWS for one in self._meter.windows())
+        return recent and self._meter.window_of(self._acknowledged_complete_before) < current
 
-    def _lacking(self, known: Coordinator) -> dict[int, dict[str, int]]:
-        """Return the windows of which the coordinator lacks something."""
-        told = self._told if known.epoch == self._told_epoch else {}
+    def _unacknowledged(self, target: Coordinator) -> dict[int, dict[str, int]]:
+        """Return the windows with counts that the coordinator has not acknowledged."""
+        acknowledged = self._acknowledged if target.epoch == self._acknowledged_epoch else {}
         return {
-            one: counts for one, counts in self._meter.windows().items() if told.get(one) != counts
+            one: counts
+            for one, counts in self._meter.windows().items()
+            if acknowledged.get(one) != counts
         }
 
-    def _tell(self, known: Coordinator) -> bool:
-        lacking = self._lacking(known)
+    def _send(self, target: Coordinator) -> bool:
+        unacknowledged = self._unacknowledged(target)
         complete = self._meter.complete_before
-        windows = [UsageWindow(number, counts) for number, counts in sorted(lacking.items())]
-        message = UsageCounts(self._shard, known.epoch, self._source, windows, int(complete * 1000))
+        windows = [UsageWindow(number, counts) for number, counts in sorted(unacknowledged.items())]
+        message = UsageCounts(
+            self._shard, target.epoch, self._source, windows, int(complete * 1000)
+        )
         started = steady_seconds()
         try:
             reply = self._network.call(
-                known.node_id, MessageType.USAGE_COUNTS, message, UsageCountsReply, CALL_SECONDS
+                target.node_id,
+                MessageType.USAGE_COUNTS,
+                message,
+                UsageCountsReply,
+                CALL_TIMEOUT_SECONDS,
             )
         except RunkeelError as error:
-            self._note_failure(known, str(error.code))
+            self._on_failure(target, str(error.code))
             return False
         if not reply.taken:
-            self._note_failure(known, "not_coordinator")
+            self._on_failure(target, "not_coordinator")
             return False
-        if known.epoch != self._told_epoch:
-            self._told_epoch, self._told = known.epoch, {}
-        self._told.update(lacking)
-        self._told_complete = complete
-        self._pause = max(GATHER_SECONDS, reply.pause_ms / 1000.0)
+        if target.epoch != self._acknowledged_epoch:
+            self._acknowledged_epoch, self._acknowledged = target.epoch, {}
+        self._acknowledged.update(unacknowledged)
+        self._acknowledged_complete_before = complete
+        self._send_delay = max(SEND_DELAY_SECONDS, reply.pause_ms / 1000.0)
         if self._failing:
             self._failing = False
             logger.info(
-                "usage told again", code="usage_told", ms=int((steady_seconds() - started) * 1000)
+                "usage counts sent again",
+                code="usage_told",
+                ms=int((steady_seconds() - started) * 1000),
             )
         return True
 
-    def _note_failure(self, known: Coordinator, reason: str) -> None:
+    def _on_failure(self, target: Coordinator, reason: str) -> None:
         if not self._failing:
             logger.info(
-                "usage not told",
+                "usage counts not sent",
                 code="usage_untold",
-                coordinator=known.node_id,
-                epoch=known.epoch,
-                windows=len(self._lacking(known)),
+                coordinator=target.node_id,
+                epoch=target.epoch,
+                windows=len(self._unacknowledged(target)),
                 reason=reason,
             )
         self._failing = True
--- a/tests/usage/test_duty.py
+++ b/tests/usage/test_duty.py
@@ -1,4 +1,4 @@
-"""The coordinator's part of usage: the ledger, decisions that are made once, reports."""
+"""Tests of the coordinator's usage duty: ledger, one-time decisions and reports."""
 
 import unittest
 
@@ -17,11 +17,11 @@
 SHARD = "fleet"
 SETTINGS = UsageSettings(5.0, 10.0)
 FIRST = 200
-"""The window in which the tests begin."""
+"""Number of the window in which the tests begin."""
 
 
 class Platform:
-    """Takes reports and remembers them."""
+    """Records reports; fails the next ``lost`` of them after recording."""
 
     def __init__(self):
         self.reports = []
@@ -36,26 +36,26 @@
 
 
 class LedgerTest(unittest.TestCase):
-    def test_counts_of_a_source_only_grow(self):
+    def test_merge_keeps_the_larger_count_of_a_source(self):
         ledger = UsageLedger(decided_through=FIRST - 1)
         self.assertTrue(ledger.merge(FIRST, "x", {"a": 2}))
         self.assertFalse(ledger.merge(FIRST, "x", {"a": 1}))
         self.assertTrue(ledger.merge(FIRST, "y", {"a": 1, "b": 1}))
         self.assertEqual(ledger.decide(FIRST), {"a": 3, "b": 1})
 
-    def test_what_comes_after_the_decision_changes_nothing(self):
+    def test_counts_after_the_decision_are_dropped(self):
         ledger = UsageLedger(decided_through=FIRST - 1)
         ledger.merge(FIRST, "x", {"a": 2})
         ledger.decide(FIRST)
         self.assertFalse(ledger.merge(FIRST, "x", {"a": 3}))
         self.assertEqual(ledger.decided[FIRST], {"a": 2})
-        self.assertEqual(ledger.missed(FIRST, {"a": 3}), 1)
+        self.assertEqual(ledger.late_requests(FIRST, {"a": 3}), 1)
 
     def test_windows_are_decided_in_order(self):
         with self.assertRaises(ValueError):
             UsageLedger(decided_through=FIRST - 1).decide(FIRST + 1)
 
-    def test_document_holds_everything(self):
+    def test_encoded_ledger_decodes_to_an_equal_one(self):
         ledger = UsageLedger(epoch=3, decided_through=FIRST - 1)
         ledger.merge(FIRST, "x", {"a": 2})
         ledger.merge(FIRST + 1, "x", {"b": 1})
@@ -87,12 +87,12 @@
         duty.start()
         return duty
 
-    def tell(self, duty, source, windows, complete=None):
-        told = [UsageWindow(number, counts) for number, counts in windows.items()]
+    def send_counts(self, duty, source, windows, complete=None):
+        usage_windows = [UsageWindow(number, counts) for number, counts in windows.items()]
         complete = self.now if complete is None else complete
-        return duty.take(UsageCounts(SHARD, 1, source, told, int(complete * 1000)))
+        return duty.take(UsageCounts(SHARD, 1, source, usage_windows, int(complete * 1000)))
 
-    def until(self, condition):
+    def wait_until(self, condition):
         with gevent.Timeout(5.0):
             while not condition():
                 gevent.sleep(0.01)
@@ -106,89 +106,89 @@
 
     def test_window_is_reported_once_complete(self):
         duty = self.duty(1)
-        self.tell(duty, "x", {FIRST + 1: {"a": 2}})
-        self.tell(duty, "y", {FIRST + 1: {"b": 1}})
+        self.send_counts(duty, "x", {FIRST + 1: {"a": 2}})
+        self.send_counts(duty, "y", {FIRST + 1: {"b": 1}})
         self.now = (FIRST + 2) * 5.0 + 1.0
-        self.tell(duty, "x", {}, self.now)
+        self.send_counts(duty, "x", {}, self.now)
         gevent.sleep(0.3)
         self.assertEqual(self.reported(FIRST + 1), [])
-        self.tell(duty, "y", {FIRST + 1: {"b": 2}}, self.now)
-        self.until(lambda: self.reported(FIRST + 1))
+        self.send_counts(duty, "y", {FIRST + 1: {"b": 2}}, self.now)
+        self.wait_until(lambda: self.reported(FIRST + 1))
         self.assertEqual(self.reported(FIRST + 1), [{"a": 2, "b": 2}])
-        # The first window had begun before the term, so that others may know more of it.
+        # The first window began before the term, so it is decided only when due, without counts.
         self.assertEqual(self.reported(FIRST), [{}])
 
-    def test_silent_source_is_not_waited_for_until_the_report_is_late(self):
+    def test_window_is_decided_in_time_despite_a_silent_source(self):
         duty = self.duty(1)
-        self.tell(duty, "x", {FIRST: {"a": 2}})
+        self.send_counts(duty, "x", {FIRST: {"a": 2}})
         self.now = (FIRST + 1) * 5.0 + 5.1
-        self.until(lambda: self.reported(FIRST))
+        self.wait_until(lambda: self.reported(FIRST))
         self.assertEqual(self.reported(FIRST), [{"a": 2}])
 
-    def test_counts_outlive_their_node_and_the_coordinator(self):
+    def test_counts_survive_loss_of_node_and_coordinator(self):
         duty = self.duty(1)
-        self.tell(duty, "x", {FIRST: {"a": 2}})
-        self.until(lambda: FIRST in self.stored().open)
+        self.send_counts(duty, "x", {FIRST: {"a": 2}})
+        self.wait_until(lambda: FIRST in self.stored().open)
         duty.stop()
         duty = self.duty(2, "other")
-        self.tell(duty, "y", {FIRST: {"a": 1}})
+        self.send_counts(duty, "y", {FIRST: {"a": 1}})
         self.now = (FIRST + 1) * 5.0 + 5.1
-        self.until(lambda: self.reported(FIRST))
+        self.wait_until(lambda: self.reported(FIRST))
         self.assertEqual(self.reported(FIRST), [{"a": 3}])
 
-    def test_later_holder_repeats_what_was_decided(self):
+    def test_new_coordinator_reports_the_decided_counts(self):
         self.platform.lost = 1_000
         duty = self.duty(1)
-        self.tell(duty, "x", {FIRST: {"a": 2}})
+        self.send_counts(duty, "x", {FIRST: {"a": 2}})
         self.now = (FIRST + 1) * 5.0 + 5.1
-        self.until(lambda: self.reported(FIRST))
+        self.wait_until(lambda: self.reported(FIRST))
         duty.stop()
         self.platform.lost = 0
         duty = self.duty(2, "other")
-        self.tell(duty, "x", {FIRST: {"a": 5}})
-        self.until(lambda: self.platform.reports[-1][2] == "other")
+        self.send_counts(duty, "x", {FIRST: {"a": 5}})
+        self.wait_until(lambda: self.platform.reports[-1][2] == "other")
         self.assertEqual({tuple(counts.items()) for counts in self.reported(FIRST)}, {(("a", 2),)})
         tokens = [token for *_, token in self.platform.reports]
         self.assertEqual(tokens, sorted(tokens))
 
-    def test_lost_answer_of_the_store_decides_nothing_anew(self):
+    def test_lost_store_response_does_not_change_the_decision(self):
         duty = self.duty(1)
-        self.tell(duty, "x", {FIRST: {"a": 2}})
-        self.until(lambda: FIRST in self.stored().open)
+        self.send_counts(duty, "x", {FIRST: {"a": 2}})
+        self.wait_until(lambda: FIRST in self.stored().open)
         self.store.fail_next_write(StoreFault.ANSWER_LOST, 2)
         self.now = (FIRST + 1) * 5.0 + 5.1
-        self.until(lambda: self.stored().decided_through >= FIRST)
-        self.tell(duty, "x", {FIRST: {"a": 9}})
-        self.until(lambda: self.reported(FIRST))
+        self.wait_until(lambda: self.stored().decided_through >= FIRST)
+        self.send_counts(duty, "x", {FIRST: {"a": 9}})
+        self.wait_until(lambda: self.reported(FIRST))
         self.assertEqual(self.reported(FIRST), [{"a": 2}])
 
-    def test_nothing_is_reported_that_does_not_stand_in_the_store(self):
+    def test_only_persisted_decisions_are_reported(self):
         duty = self.duty(1)
-        self.tell(duty, "x", {FIRST: {"a": 2}})
-        self.until(lambda: FIRST in self.stored().open)
+        self.send_counts(duty, "x", {FIRST: {"a": 2}})
+        self.wait_until(lambda: FIRST in self.stored().open)
         self.store.down = True
         self.now = (FIRST + 1) * 5.0 + 5.1
         gevent.sleep(0.5)
         self.assertEqual(self.platform.reports, [])
         self.store.down = False
-        self.until(lambda: self.reported(FIRST))
+        self.wait_until(lambda: self.reported(FIRST))
 
-    def test_earlier_term_decides_nothing_more(self):
+    def test_superseded_coordinator_reports_nothing(self):
         earlier = self.duty(1)
-        self.tell(earlier, "x", {FIRST: {"a": 2}})
-        self.until(lambda: FIRST in self.stored().open)
+        self.send_counts(earlier, "x", {FIRST: {"a": 2}})
+        self.wait_until(lambda: FIRST in self.stored().open)
         later = self.duty(2, "other")
-        self.until(lambda: self.stored().epoch == 2)
-        self.tell(earlier, "x", {FIRST: {"a": 4}})
+        self.wait_until(lambda: self.stored().epoch == 2)
+        self.send_counts(earlier, "x", {FIRST: {"a": 4}})
         self.now = (FIRST + 1) * 5.0 + 5.1
-        self.until(lambda: self.reported(FIRST))
+        self.wait_until(lambda: self.reported(FIRST))
         self.assertEqual({name for *_, name, _ in self.platform.reports}, {"other"})
         self.assertEqual(self.reported(FIRST), [later.ledger.decided[FIRST]])
 
-    def test_a_large_fleet_tells_less_often(self):
+    def test_large_fleet_sends_counts_less_often(self):
         duty = self.duty(1)
-        duty._nodes = lambda: 2 * usage_duty.TELLINGS_PER_SECOND
-        self.assertEqual(self.tell(duty, "x", {}).pause_ms, 2_000)
+        duty._nodes = lambda: 2 * usage_duty.MAX_UPDATES_PER_SECOND
+        self.assertEqual(self.send_counts(duty, "x", {}).pause_ms, 2_000)
 
 
 if __name__ == "__main__":
--- a/tests/usage/test_meter.py
+++ b/tests/usage/test_meter.py
@@ -1,9 +1,9 @@
-"""What a node counts, and in which window."""
+"""Tests of the requests that a node counts and of the wall clock that assigns their window."""
 
 import unittest
 
-from runkeel.usage.clock import SAMPLES, SteadyWallClock
-from runkeel.usage.meter import KEPT_SECONDS, UsageMeter
+from runkeel.usage.clock import SAMPLE_COUNT, SteadyWallClock
+from runkeel.usage.meter import RETENTION_SECONDS, UsageMeter
 
 
 class MeterTest(unittest.TestCase):
@@ -14,44 +14,44 @@
     def count(self, tenant, at):
         self.meter.close(self.meter.open(tenant), tenant, at)
 
-    def test_counts_by_window_of_the_begin(self):
+    def test_request_is_counted_in_the_window_it_began_in(self):
         self.count("a", 1_004.9)
         self.count("a", 1_005.0)
         self.count("b", 1_005.1)
         self.assertEqual(self.meter.windows(), {200: {"a": 1}, 201: {"a": 1, "b": 1}})
-        self.assertTrue(self.meter.news.is_set())
+        self.assertTrue(self.meter.changed.is_set())
 
-    def test_what_did_not_run_or_has_no_tenant_is_not_counted(self):
+    def test_request_that_did_not_run_or_has_no_tenant_is_not_counted(self):
         self.count("a", None)
         self.count("", 1_000.0)
         self.assertEqual(self.meter.windows(), {})
 
-    def test_nothing_is_counted_where_no_window_is_set(self):
+    def test_zero_window_length_disables_counting(self):
         meter = UsageMeter(0.0, lambda: self.now)
         meter.close(meter.open("a"), "a", 1_000.0)
         self.assertEqual(meter.windows(), {})
 
-    def test_a_request_under_way_may_still_count(self):
+    def test_counts_are_incomplete_while_a_request_is_in_flight(self):
         number = self.meter.open("a")
         self.now = 1_010.0
         self.assertEqual(self.meter.complete_before, 1_000.0)
         self.meter.close(number, "a", 1_001.0)
         self.assertEqual(self.meter.complete_before, 1_010.0)
 
-    def test_old_windows_are_forgotten(self):
+    def test_old_windows_are_removed(self):
         self.count("a", self.now)
-        self.now += KEPT_SECONDS + 10.0
+        self.now += RETENTION_SECONDS + 10.0
         self.count("a", self.now)
         self.assertEqual(list(self.meter.windows()), [int(self.now // 5)])
 
 
 class ClockTest(unittest.TestCase):
-    def test_a_jump_that_is_set_right_moves_nothing(self):
+    def test_corrected_jump_has_no_effect(self):
         clock = SteadyWallClock()
         before = clock.time()
         true_offset = clock._offset
-        clock._offsets.extend([true_offset] * SAMPLES)
-        clock._offsets.extend([true_offset + 2.0] * (SAMPLES // 2 - 1))
+        clock._offsets.extend([true_offset] * SAMPLE_COUNT)
+        clock._offsets.extend([true_offset + 2.0] * (SAMPLE_COUNT // 2 - 1))
         clock._sampled_at = -10.0
         self.assertLess(abs(clock.time() - before), 1.0)
 
--- a/tests/usage/test_usage_fuzz.py
+++ b/tests/usage/test_usage_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzing of the reports of usage, and proof that it finds the faults it is meant for."""
+"""Fuzz test of usage reports, with mutants that prove it detects the faults it targets."""
 
 import unittest
 from unittest import mock
@@ -13,8 +13,8 @@
 from tests.usage.usage_machine import UsageMachine
 
 
-def merge_by_adding(self, window, source, counts):
-    """The mutant of merge: what is told again counts again."""
+def merge_by_addition(self, window, source, counts):
+    """Mutant of merge: counts sent again are added again."""
     if window <= self.decided_through:
         return False
     known = self.open.setdefault(window, {}).setdefault(source, {})
@@ -23,8 +23,8 @@
     return True
 
 
-def decide_without_the_store(self):
-    """The mutant of _decide_due: what is decided is reported before it stands in the store."""
+def decide_before_persisting(self):
+    """Mutant of _decide_due: decisions are reported before they are persisted."""
     decided = decide_due(self)
     self._confirm()
     return decided
@@ -33,14 +33,14 @@
 decide_due = UsageDuty._decide_due
 
 
-def settle_by_overwriting(self, conflict):
-    """The mutant of _settle: the other write is replaced by this node's."""
+def resolve_conflict_by_overwriting(self, conflict):
+    """Mutant of _resolve_conflict: the conflicting write is overwritten."""
     self._revision = conflict.current.revision
     self._write()
 
 
-def adopt_without_what_was_open(self, document):
-    """The mutant of _adopt: counts of the terms before are forgotten."""
+def adopt_without_open_counts(self, document):
+    """Mutant of _adopt: counts of previous terms are discarded."""
     adopt(self, document)
     self._ledger.open.clear()
 
@@ -57,22 +57,22 @@
     def test_contract_holds(self):
         run_state_machine_as_test(UsageMachine, settings=fuzz_settings(EXAMPLES))
 
-    def check_found(self, target, name, mutant):
+    def assert_detected(self, target, name, mutant):
         with mock.patch.object(target, name, mutant):
             violation = find_violation(UsageMachine, fuzz_settings(MUTANT_EXAMPLES))
         self.assertIsNotNone(violation)
 
-    def test_counts_that_are_added_twice_are_found(self):
-        self.check_found(UsageLedger, "merge", merge_by_adding)
+    def test_double_counting_is_detected(self):
+        self.assert_detected(UsageLedger, "merge", merge_by_addition)
 
-    def test_reports_of_what_is_not_decided_yet_are_found(self):
-        self.check_found(UsageDuty, "_decide_due", decide_without_the_store)
+    def test_unpersisted_reports_are_detected(self):
+        self.assert_detected(UsageDuty, "_decide_due", decide_before_persisting)
 
-    def test_overwritten_decisions_are_found(self):
-        self.check_found(UsageDuty, "_settle", settle_by_overwriting)
+    def test_overwritten_decisions_are_detected(self):
+        self.assert_detected(UsageDuty, "_resolve_conflict", resolve_conflict_by_overwriting)
 
-    def test_forgotten_counts_are_found(self):
-        self.check_found(UsageDuty, "_adopt", adopt_without_what_was_open)
+    def test_lost_counts_are_detected(self):
+        self.assert_detected(UsageDuty, "_adopt", adopt_without_open_counts)
 
 
 if __name__ == "__main__":
--- a/tests/usage/usage_machine.py
+++ b/tests/usage/usage_machine.py
@@ -1,9 +1,9 @@
-"""Random histories of counting nodes, coordinators that take turns, a store and a platform.
+"""State machine of nodes that count usage, successive coordinators, a store and a platform.
 
-Nodes die, tellings are repeated and go to any coordinator, writes fail or their answers are lost,
-reports are sent late by coordinators that were replaced long ago. The oracle knows every request.
-It checks that no window is ever reported with two different counts, that nothing is reported that
-did not run, and that what once stood in the store is part of what is decided.
+Nodes crash, updates are repeated and reach any coordinator, writes fail or lose their responses,
+and replaced coordinators report late. The oracle knows every request. It checks that no window is
+reported with two different counts, that only requests that ran are reported, and that counts once
+persisted in the store are part of the decision.
 """
 
 from hypothesis import strategies
@@ -25,13 +25,13 @@
 
 node_numbers = strategies.integers(0, NODES - 1)
 terms = strategies.integers(0, 2)
-"""How many terms ago a coordinator was elected."""
+"""Number of terms since a coordinator was elected."""
 
 faults = strategies.sampled_from([None, None, StoreFault.DOWN, StoreFault.ANSWER_LOST])
 
 
 class _Lease:
-    """Lets everybody send at any time: the worst that a lease could do."""
+    """A lease that allows everybody to send at any time, the worst case."""
 
     def __init__(self, token):
         self.token = token
@@ -54,8 +54,8 @@
     def report_usage(self, report, holder, timeout_seconds, before_send):
         before_send()
         counts = dict(report.counts)
-        known = self.reported.setdefault(report.window, counts)
-        assert known == counts, f"window {report.window}: {counts} after {known}"
+        recorded = self.reported.setdefault(report.window, counts)
+        assert recorded == counts, f"window {report.window}: {counts} after {recorded}"
         if self.lost:
             raise may_have_run(ErrorCode.BACKEND_LOST, "no answer")
 
@@ -69,9 +69,9 @@
         self.sources = 0
         self.nodes = [self._new_node() for _ in range(NODES)]
         self.duties = []
-        self.truth = {}
-        self.stored = {}
-        """What has stood in the store, by window, source and tenant."""
+        self.actual_counts = {}
+        self.persisted_counts = {}
+        """Counts that have been in the store, by window, source and tenant."""
 
     def _new_node(self):
         self.sources += 1
@@ -102,7 +102,7 @@
     def request(self, number, tenant):
         meter = self.nodes[number][1]
         meter.close(meter.open(tenant), tenant, self.now)
-        counts = self.truth.setdefault(meter.window_of(self.now), {})
+        counts = self.actual_counts.setdefault(meter.window_of(self.now), {})
         counts[tenant] = counts.get(tenant, 0) + 1
 
     @rule(seconds=strategies.floats(0.5, 12.0))
@@ -114,21 +114,21 @@
         self.nodes[number] = self._new_node()
 
     @rule(number=node_numbers, term=terms)
-    def tell(self, number, term):
+    def send_counts(self, number, term):
         source, meter = self.nodes[number]
         windows = [UsageWindow(one, counts) for one, counts in meter.windows().items()]
         complete = int(meter.complete_before * 1000)
         self._duty(term).take(UsageCounts(SHARD, 1, source, windows, complete))
 
     @rule(term=terms, fault=faults, lost=strategies.booleans())
-    def serve(self, term, fault, lost):
-        """A coordinator has its turn: it keeps its ledger and reports what it may."""
-        self.keep(term, fault)
+    def take_turn(self, term, fault, lost):
+        """Let a coordinator update its ledger and report a window."""
+        self.update_ledger(term, fault)
         self.report(term, lost)
 
     @rule(term=terms, fault=faults)
-    def keep(self, term, fault):
-        """A coordinator decides what is due, and writes its ledger."""
+    def update_ledger(self, term, fault):
+        """Let a coordinator decide due windows and write its ledger."""
         duty = self._duty(term)
         decided = duty._decide_due()
         if fault is not None:
@@ -148,20 +148,26 @@
         return self.duties[max(0, len(self.duties) - 1 - term)]
 
     @invariant()
-    def nothing_that_did_not_run_is_reported(self):
+    def reported_requests_did_run(self):
         for window, counts in self.platform.reported.items():
             for tenant, count in counts.items():
-                assert count <= self.truth.get(window, {}).get(tenant, 0), (window, tenant, count)
+                assert count <= self.actual_counts.get(window, {}).get(tenant, 0), (
+                    window,
+                    tenant,
+                    count,
+                )
 
     @invariant()
-    def what_stood_in_the_store_is_part_of_the_decision(self):
+    def persisted_counts_are_part_of_the_decision(self):
         document = self.store.get(DocumentKind.USAGE_LEDGER, SHARD)
         if document is None:
             return
         ledger = UsageLedger.decode(document.content)
         for window, told in ledger.open.items():
-            self.stored[window] = {one: dict(counts) for one, counts in told.items()}
+            self.persisted_counts[window] = {one: dict(counts) for one, counts in told.items()}
         for window, counts in ledger.decided.items():
-            known = UsageLedger(open={window: self.stored.get(window, {})}).counts_so_far(window)
-            for tenant, count in known.items():
-                assert counts.get(tenant, 0) >= count, (window, tenant, counts, known)
+            recorded = UsageLedger(
+                open={window: self.persisted_counts.get(window, {})}
+            ).current_counts(window)
+            for tenant, count in recorded.items():
+                assert counts.get(tenant, 0) >= count, (window, tenant, counts, recorded)
