--- a/src/runkeel/tenants/__init__.py
+++ b/src/runkeel/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Who may call: tenants, their keys, and what a caller's key allows."""
+"""Authentication of callers: tenants and their API keys."""
--- a/src/runkeel/tenants/access.py
+++ b/src/runkeel/tenants/access.py
@@ -1,4 +1,4 @@
-"""Decides on whose behalf a request is answered."""
+"""Authenticates requests and determines their tenant."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from runkeel.tenants.keys import presented_key
 
 NO_TENANT = ""
-"""Name of the tenant of requests that need no key."""
+"""Tenant name of requests that need no key."""
 
 
 def calling_tenant(
@@ -18,12 +18,12 @@
     """Return the name of the tenant that a request's key belongs to.
 
     Args:
-        tenants: those of the configuration in force; None: it asks for no keys.
-        authorizations: the values of all authorization headers of the request.
-        public: the request's route needs no key.
+        tenants: tenants of the active configuration; None if it requires no keys.
+        authorizations: values of all Authorization headers of the request.
+        public: whether the request's route requires no key.
 
     Raises:
-        RunkeelError: UNAUTHORIZED, NOT_RUN.
+        RunkeelError: UNAUTHORIZED (NOT_RUN) if the key is missing, malformed or unknown.
     """
     if tenants is None or public:
         return NO_TENANT
--- a/src/runkeel/tenants/directory.py
+++ b/src/runkeel/tenants/directory.py
@@ -1,4 +1,4 @@
-"""The tenants of one version of the configuration, by key and by name."""
+"""Lookup of the tenants of one configuration version by key and by name."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One of the parties that share the system.
+    """A tenant of the system.
 
     Attributes:
-        rank: of its requests, 0 the most urgent; None: that of the route holds.
-        key_digests: of the keys that it may present, see :mod:`runkeel.tenants.keys`.
+        rank: urgency of its requests, 0 the most urgent; None to use the route's rank.
+        key_digests: digests of its keys, see :mod:`runkeel.tenants.keys`.
     """
 
     name: str
@@ -23,7 +23,7 @@
 
 
 class TenantDirectory:
-    """Finds a tenant in constant time, however many there are. Never changed once made."""
+    """Immutable set of tenants with constant-time lookup."""
 
     def __init__(self, tenants: Iterable[Tenant]) -> None:
         self._by_name = {tenant.name: tenant for tenant in tenants}
@@ -38,9 +38,9 @@
         return iter(self._by_name.values())
 
     def of_key(self, key: str) -> Tenant | None:
-        """Return the tenant that holds a key."""
+        """Return the tenant that owns a key, or None."""
         return self._by_digest.get(key_digest(key))
 
     def of_name(self, name: str) -> Tenant | None:
-        """Return a tenant by its name."""
+        """Return the tenant with a name, or None."""
         return self._by_name.get(name)
--- a/src/runkeel/tenants/keys.py
+++ b/src/runkeel/tenants/keys.py
@@ -1,7 +1,7 @@
-"""Keys of callers, kept as digests only.
+"""API keys of callers, stored as digests only.
 
-A key is read from a request or from the operators' configuration and turned into a digest at once.
-Nothing that is logged, stored, counted or sent to another node ever holds the key itself.
+A key read from a request or from the configuration is hashed immediately. Logs, stored data,
+metrics and messages between nodes never contain the key itself.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 from collections.abc import Sequence
 
 _DIGEST_BYTES = 16
-"""128 bits: two keys of the same digest won't be found."""
+"""128 bits, so that collisions are infeasible to find."""
 
 _SCHEME = "bearer"
 
 
 def key_digest(key: str) -> str:
-    """Return what stands for a key wherever it is kept or compared."""
+    """Return the digest by which a key is stored and compared."""
     return hashlib.blake2b(key.encode(), digest_size=_DIGEST_BYTES).hexdigest()
 
 
 def presented_key(authorizations: Sequence[str]) -> str | None:
-    """Return the key that a request presents; None when it presents none or not exactly one.
+    """Return the bearer key of a request, or None unless it has exactly one well-formed key.
 
     Args:
-        authorizations: the values of all its authorization headers.
+        authorizations: values of all Authorization headers of the request.
     """
     if len(authorizations) != 1:
         return None
--- a/tests/tenants/test_access.py
+++ b/tests/tenants/test_access.py
@@ -1,4 +1,4 @@
-"""Keys: which tenant a request is answered for, and what is kept of a key."""
+"""Tests of authentication by key, key digests and the ranks of tenants."""
 
 import unittest
 
@@ -28,7 +28,7 @@
                 self.assertEqual(calling_tenant(directory(), [header]), "parish")
         self.assertEqual(calling_tenant(directory(), ["Bearer third"]), "school")
 
-    def test_what_is_no_key_is_refused_and_has_not_run(self):
+    def test_invalid_credentials_are_rejected_before_running(self):
         for headers in (
             [],
             [""],
@@ -48,18 +48,18 @@
             self.assertIs(caught.exception.verdict, Verdict.NOT_RUN)
             self.assertNotIn(KEY, str(caught.exception))
 
-    def test_public_route_and_configuration_without_tenants_need_no_key(self):
+    def test_public_route_or_configuration_without_tenants_needs_no_key(self):
         self.assertEqual(calling_tenant(directory(), [], public=True), NO_TENANT)
         self.assertEqual(calling_tenant(directory(), ["Bearer x"], public=True), NO_TENANT)
         self.assertEqual(calling_tenant(None, []), NO_TENANT)
 
-    def test_kept_digest_does_not_hold_the_key(self):
+    def test_digest_does_not_contain_the_key(self):
         self.assertNotIn(KEY, key_digest(KEY))
         self.assertNotEqual(key_digest(KEY), key_digest(KEY + "x"))
 
 
 class RankTest(unittest.TestCase):
-    def test_the_tenants_word_goes_before_the_routes(self):
+    def test_rank_of_the_tenant_overrides_that_of_the_route(self):
         route = Route("r", "h", "/", RouteKind.BATCH, (), rank=5)
         with_tenants = RoutesInForce(RoutingConfiguration(1, (route,), tenants=directory()))
         self.assertEqual(with_tenants.rank(route, "parish"), 1)
