--- a/src/runkeel/quarantine/crash_ledger.py
+++ b/src/runkeel/quarantine/crash_ledger.py
@@ -95,13 +95,13 @@
         if known is not None:
             self._put(replace(known, trials=known.trials + 1, changed_at=self._now()), "")
 
-    def note_trial_returned(self, fingerprint: str) -> None:
+    def record_returned_trial(self, fingerprint: str) -> None:
         """Record that a granted trial reached no server."""
         known = self.get(fingerprint)
         if known is not None and known.trials_returned < known.trials:
             self._put(replace(known, trials_returned=known.trials_returned + 1), "")
 
-    def take(self, record: CrashRecord, source: str) -> bool:
+    def merge_record(self, record: CrashRecord, source: str) -> bool:
         """Merge another node's record; returns whether it changed this ledger."""
         known = self.get(record.fingerprint)
         if known is None:
--- a/src/runkeel/quarantine/gossip.py
+++ b/src/runkeel/quarantine/gossip.py
@@ -188,4 +188,4 @@
     def _merge_records(self, messages: list, source: str) -> None:
         now = steady_seconds()
         for one in messages:
-            self._ledger.take(from_wire(one, now), source)
+            self._ledger.merge_record(from_wire(one, now), source)
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -46,7 +46,7 @@
     """A cached denial of a trial, valid for a record with this digest.
 
     Attributes:
-        until: steady time in seconds at which the denial expires.
+        expires_at: steady time in seconds at which the denial expires.
         retry_at: steady time in seconds at which a trial may be granted.
     """
 
@@ -241,7 +241,7 @@
         """Return a granted trial that reached no server."""
         if self.on_trial:
             self.on_trial = False
-            self._quarantine.ledger.note_trial_returned(self.fingerprint)
+            self._quarantine.ledger.record_returned_trial(self.fingerprint)
 
     def _record(self) -> CrashRecord | None:
         ledger = self._quarantine.ledger
--- a/src/runkeel/quarantine/record_keeper.py
+++ b/src/runkeel/quarantine/record_keeper.py
@@ -149,7 +149,7 @@
 
 def _merge_document(document: Document, ledger: CrashLedger) -> None:
     for record in _records(document.content):
-        ledger.take(record, "")
+        ledger.merge_record(record, "")
 
 
 def _records(content: Any) -> list[CrashRecord]:
--- a/src/runkeel/quarantine/trials.py
+++ b/src/runkeel/quarantine/trials.py
@@ -68,7 +68,7 @@
             record: the requesting node's record of the request.
             source: the requesting node; empty for this node.
         """
-        self._ledger.take(record, source)
+        self._ledger.merge_record(record, source)
         known = self._ledger.get(record.fingerprint)
         answer = TrialAnswer(True) if known is None or not known.held else self._decide(known)
         QUARANTINE_TRIALS.labels("granted" if answer.granted else "denied").inc()
--- a/tests/quarantine/test_crash_ledger.py
+++ b/tests/quarantine/test_crash_ledger.py
@@ -36,7 +36,7 @@
         self.crash_servers("f", "a", "b", "c")
         outdated = self.ledger.get("f")
         self.assertTrue(self.ledger.clear("f"))
-        self.assertFalse(self.ledger.take(outdated, "other"))
+        self.assertFalse(self.ledger.merge_record(outdated, "other"))
         self.assertFalse(self.ledger.get("f").held)
         self.assertFalse(self.ledger.clear("f"))
         self.assertFalse(self.ledger.clear("unknown"))
@@ -50,7 +50,7 @@
     def test_update_without_new_content_does_not_notify_listeners(self):
         self.crash_servers("f", "a")
         before = len(self.changes)
-        self.assertFalse(self.ledger.take(self.ledger.get("f"), "other"))
+        self.assertFalse(self.ledger.merge_record(self.ledger.get("f"), "other"))
         self.assertEqual(len(self.changes), before)
 
     def test_records_expire(self):
@@ -58,12 +58,12 @@
         self.crash_servers("held", "a", "b", "c")
         self.crash_servers("cleared", "a")
         self.ledger.clear("cleared")
-        kept = (
+        retention_cases = (
             ("cleared", CLEARANCE_RETENTION_SECONDS),
             ("suspect", SUSPECT_RETENTION_SECONDS),
             ("held", QUARANTINE_RETENTION_SECONDS),
         )
-        for fingerprint, seconds in kept:
+        for fingerprint, seconds in retention_cases:
             self.now = 100.0 + seconds - 1.0
             self.assertIsNotNone(self.ledger.get(fingerprint))
             self.now = 100.0 + seconds
@@ -74,7 +74,7 @@
         old = CrashRecord(
             "f", "ledger", 0, frozenset("a"), changed_at=100.0 - SUSPECT_RETENTION_SECONDS
         )
-        self.assertFalse(self.ledger.take(old, "other"))
+        self.assertFalse(self.ledger.merge_record(old, "other"))
 
     def test_ledger_is_bounded_and_evicts_quarantined_requests_last(self):
         """A client that varies a crashing body can neither grow the ledger nor evict the rest."""
@@ -91,7 +91,7 @@
         self.crash_servers("f", "a", "b")
         self.crash_servers("g", "a")
         for record in reversed(self.ledger.records()):
-            other.take(record, "")
+            other.merge_record(record, "")
         self.assertEqual(other.digest, self.ledger.digest)
         other.note_ended("g", "ledger", "b")
         self.assertNotEqual(other.digest, self.ledger.digest)
--- a/tests/quarantine/test_trials.py
+++ b/tests/quarantine/test_trials.py
@@ -61,7 +61,7 @@
         self.quarantine_request("f")
         for _ in range(5):
             self.assertTrue(self.ask("f").granted)
-            self.ledger.note_trial_returned("f")
+            self.ledger.record_returned_trial("f")
         self.assertEqual(self.ledger.get("f").trials_used, 0)
 
     def test_cleared_request_needs_no_trial(self):
--- a/tests/usage/usage_machine.py
+++ b/tests/usage/usage_machine.py
@@ -163,8 +163,10 @@
         if document is None:
             return
         ledger = UsageLedger.decode(document.content)
-        for window, told in ledger.open.items():
-            self.persisted_counts[window] = {one: dict(counts) for one, counts in told.items()}
+        for window, open_counts in ledger.open.items():
+            self.persisted_counts[window] = {
+                one: dict(counts) for one, counts in open_counts.items()
+            }
         for window, counts in ledger.decided.items():
             recorded = UsageLedger(
                 open={window: self.persisted_counts.get(window, {})}
