--- a/src/runkeel/usage/duty.py
+++ b/src/runkeel/usage/duty.py
@@ -19,9 +19,10 @@
 from runkeel.wire.generated.jobs.ttypes import UsageCounts, UsageCountsReply
 
 MIN_CHECKPOINT_INTERVAL_SECONDS = 0.5
-"""Minimum time between two writes of the ledger.
+"""Minimum time between a write of the ledger and the next write of new counts.
 
-Counts not written yet are lost only if both their node and the coordinator crash.
+Decisions are written immediately. Counts not written yet are lost only if both their node and the
+coordinator crash.
 """
 
 CHECKPOINT_BYTES_PER_SECOND = 200_000
