--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -332,7 +332,7 @@
     if not untried:
         return None
 
-    def order(state: BackendState) -> tuple[bool, float, bool, bool, float]:
+    def sort_key(state: BackendState) -> tuple[bool, float, bool, bool, float]:
         load = state.in_flight / max(1, state.backend.slots)
         return (
             state.avoided(now),
@@ -342,4 +342,4 @@
             random.random(),
         )
 
-    return min(untried, key=order)
+    return min(untried, key=sort_key)
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Passes a request on to servers of its service: attempts, retries, hedges, deadlines."""
+"""Forwards a request to a server of its service, with retries, hedging and a deadline."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, may_have_run, not_run
 from runkeel.gateway.backends import BackendDirectory, BackendState, choose_backend
-from runkeel.gateway.return_time import seconds_until_room
+from runkeel.gateway.return_time import estimate_retry_after
 from runkeel.metrics import ATTEMPTS
 from runkeel.quarantine.quarantine import Quarantine, WatchedRequest
 from runkeel.usage.meter import UsageMeter
 
-HEDGE_SHARE = 0.5
-"""Share of the target latency after which a second server is asked too.
+HEDGE_LATENCY_FRACTION = 0.5
+"""Fraction of the target latency after which a hedged attempt is sent to another server.
 
-Its answer can then still come within the target.
+Less than 1, so that the hedged attempt can still complete within the target.
 """
 
-MINIMUM_ATTEMPT_SECONDS = 0.005
-"""With less time left no server is asked: a request takes some milliseconds at the least."""
+MIN_ATTEMPT_SECONDS = 0.005
+"""No attempt is started with less time than this before the deadline."""
 
-_GONE = object()
+_CLIENT_DISCONNECTED = object()
 
 
 @dataclass(slots=True)
 class _Outcome:
-    """How one attempt ended; exactly one of answer and error is set."""
+    """Result of one attempt; exactly one of answer and error is set."""
 
     state: BackendState
     answer_class: AnswerClass | None = None
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """One request's attempts."""
+    """State of one request and its attempts."""
 
     request: PlainRequest
     watched: WatchedRequest
@@ -69,18 +69,19 @@
     running: int = 0
     answered: bool = False
     sent: int = 0
-    """Attempts that may have run, those still under way included."""
+    """Attempts that may have run, including those in flight."""
     failure: _Outcome | None = None
-    began_at: float = 0.0
-    """Seconds since the epoch at which the first of the attempts in ``sent`` was made."""
+    first_attempt_at: float = 0.0
+    """Start of the first attempt counted in ``sent``, in seconds since the epoch."""
 
 
 class Forwarder:
-    """Passes requests on; an answer is returned whole or not at all.
+    """Forwards requests; a response is returned only when it is complete.
 
     Args:
-        meter: counts the requests that servers began to run.
-        quarantine: keeps requests that crash servers away from further ones.
+        zone: zone of this node; servers of the same zone are preferred.
+        meter: counts the requests that servers started to run.
+        quarantine: holds back requests that crash servers.
     """
 
     def __init__(
@@ -105,45 +106,47 @@
         deadline: float,
         gone: Event | None = None,
     ) -> HttpAnswer:
-        """Return the answer of a server of the service.
+        """Return the response of a server of the service.
 
         Args:
-            deadline: steady time at which the answer is due.
-            gone: set when the client has left; the attempts are then ended.
+            deadline: steady clock time, in seconds, by which the response is due.
+            gone: set when the client has disconnected; attempts in flight are then cancelled.
 
         Raises:
-            RunkeelError: with verdict NOT_RUN only when no server runs the request.
+            RunkeelError: with verdict NOT_RUN only if no server ran the request.
         """
         watched = self._quarantine.watch(
             lambda: self._quarantine.fingerprints.of_plain(request), service, request.request_id
         )
         progress = _Progress(request, watched, route, service, deadline, steady_seconds())
-        leaver = gevent.spawn(_report_gone, gone, progress.results) if gone is not None else None
+        disconnect_watcher = (
+            gevent.spawn(_report_disconnect, gone, progress.results) if gone is not None else None
+        )
         metered = self._meter.open(request.tenant)
         try:
-            return self._drive(progress)
+            return self._run_attempts(progress)
         finally:
             if not progress.sent:
                 watched.return_trial()
-            began_at = progress.began_at if progress.sent else None
-            self._meter.close(metered, request.tenant, began_at)
-            if leaver is not None:
-                leaver.kill(block=False)
+            first_attempt_at = progress.first_attempt_at if progress.sent else None
+            self._meter.close(metered, request.tenant, first_attempt_at)
+            if disconnect_watcher is not None:
+                disconnect_watcher.kill(block=False)
             gevent.killall(progress.tasks, block=False)
 
-    def _drive(self, progress: _Progress) -> HttpAnswer:
+    def _run_attempts(self, progress: _Progress) -> HttpAnswer:
         self._start_attempt(progress)
         while progress.running:
             try:
-                outcome = progress.results.get(timeout=self._patience(progress))
+                outcome = progress.results.get(timeout=self._wait_seconds(progress))
             except Empty:
                 if steady_seconds() >= progress.deadline:
-                    raise self._given_up(progress, ErrorCode.DEADLINE_EXCEEDED) from None
+                    raise self._abandoned_error(progress, ErrorCode.DEADLINE_EXCEEDED) from None
                 self._start_attempt(progress, "hedge")
                 continue
-            if outcome is _GONE:
-                raise self._given_up(progress, ErrorCode.CANCELLED)
-            answer = self._take(progress, outcome)
+            if outcome is _CLIENT_DISCONNECTED:
+                raise self._abandoned_error(progress, ErrorCode.CANCELLED)
+            answer = self._handle_outcome(progress, outcome)
             if answer is not None:
                 progress.answered = True
                 return answer
@@ -151,7 +154,7 @@
                 self._start_attempt(progress, "retry")
         return self._finish(progress)
 
-    def _take(self, progress: _Progress, outcome: _Outcome) -> HttpAnswer | None:
+    def _handle_outcome(self, progress: _Progress, outcome: _Outcome) -> HttpAnswer | None:
         progress.running -= 1
         ATTEMPTS.labels(progress.service, outcome.label).inc()
         if outcome.answer_class is AnswerClass.SUCCESS:
@@ -170,26 +173,28 @@
         failure = progress.failure
         if failure is None:
             code = ErrorCode.QUEUE_FULL if progress.tried else ErrorCode.NO_BACKEND
-            raise not_run(code, progress.service, self._seconds_until_room(progress))
+            raise not_run(code, progress.service, self._retry_after_seconds(progress))
         if failure.answer is not None:
             return failure.answer
         raise failure.error
 
-    def _patience(self, progress: _Progress) -> float:
+    def _wait_seconds(self, progress: _Progress) -> float:
         now = steady_seconds()
         remaining = max(0.0, progress.deadline - now)
         if not self._may_hedge(progress):
             return remaining
-        hedge_after = progress.route.target_latency_seconds * HEDGE_SHARE * len(progress.tried)
+        hedge_after = (
+            progress.route.target_latency_seconds * HEDGE_LATENCY_FRACTION * len(progress.tried)
+        )
         return min(remaining, max(0.0, progress.started + hedge_after - now))
 
     def _may_hedge(self, progress: _Progress) -> bool:
         if not progress.route.repeatable or progress.sent >= progress.route.maximum_attempts:
             return False
         if progress.watched.suspected:
-            # A second server would end at the same time as the first.
+            # A request that crashes servers would take down the second one as well.
             return False
-        if progress.deadline - steady_seconds() < MINIMUM_ATTEMPT_SECONDS:
+        if progress.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
             return False
         candidates = self._directory.candidates(progress.service, progress.tried)
         return any(state.incarnation not in progress.tried for state in candidates)
@@ -197,29 +202,29 @@
     def _start_attempt(self, progress: _Progress, reason: str = "first") -> None:
         if progress.sent >= progress.route.maximum_attempts:
             return
-        if progress.deadline - steady_seconds() < MINIMUM_ATTEMPT_SECONDS:
+        if progress.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
             return
         candidates = self._directory.candidates(progress.service, progress.tried)
         if progress.watched.held:
-            # A trial is too dear to be sent to a server that is gone.
+            # Trials are limited; don't use one on a server that has ended.
             candidates = [one for one in candidates if not one.ended]
         state = choose_backend(candidates, progress.tried, self._zone)
-        if state is None or not self._admitted(progress):
+        if state is None or not self._may_attempt(progress):
             return
         progress.tried.add(state.incarnation)
         progress.running += 1
         if not progress.sent:
-            progress.began_at = self._meter.now()
+            progress.first_attempt_at = self._meter.now()
         progress.sent += 1
-        # Counted before the task runs: requests that come at one moment would all see servers
-        # without any, and all choose those of this zone.
+        # Counted before the task starts. Otherwise, simultaneous requests would all see idle
+        # servers and all choose those of this zone.
         state.in_flight += 1
         task = gevent.spawn(self._attempt, progress, state)
-        task.rawlink(lambda ended: _release(state))
+        task.rawlink(lambda ended: _release_slot(state))
         progress.tasks.append(task)
         if reason != "first":
             logger.info(
-                "another attempt",
+                "starting another attempt",
                 code="attempt",
                 request=progress.request.request_id,
                 reason=reason,
@@ -228,18 +233,18 @@
                 age_ms=int((steady_seconds() - progress.started) * 1000),
             )
 
-    def _admitted(self, progress: _Progress) -> bool:
-        """Return whether one more server may be asked.
+    def _may_attempt(self, progress: _Progress) -> bool:
+        """Return whether the quarantine allows another attempt; may ask the coordinator.
 
         Raises:
-            RunkeelError: REQUEST_QUARANTINED where none was; that has the coordinator asked.
+            RunkeelError: REQUEST_QUARANTINED if the request is held and gets no trial.
         """
         if not progress.watched.held:
             return True
         if progress.sent:
             return False
         progress.watched.admit()
-        return progress.deadline - steady_seconds() >= MINIMUM_ATTEMPT_SECONDS
+        return progress.deadline - steady_seconds() >= MIN_ATTEMPT_SECONDS
 
     def _attempt(self, progress: _Progress, state: BackendState) -> None:
         started = steady_seconds()
@@ -247,10 +252,10 @@
             outcome = self._exchange(progress, state)
         except gevent.GreenletExit:
             if not progress.answered:
-                # Its server may end of it later, though nobody waits for the answer any more.
+                # The request may still crash its server after the attempt was cancelled.
                 progress.watched.lost(state, may_have_run(ErrorCode.CANCELLED))
             raise
-        _judge(state, outcome)
+        _record_outcome(state, outcome)
         if outcome.answer_class is AnswerClass.SUCCESS:
             state.note_answer_time(steady_seconds() - started)
         progress.results.put(outcome)
@@ -277,15 +282,15 @@
             self._quarantine.ends.address_taken(state)
         return _Outcome(state, answer_class=seen[-1], answer=answer)
 
-    def _given_up(self, progress: _Progress, code: ErrorCode) -> RunkeelError:
+    def _abandoned_error(self, progress: _Progress, code: ErrorCode) -> RunkeelError:
         verdict = Verdict.MAY_HAVE_RUN if progress.sent else Verdict.NOT_RUN
         if verdict is Verdict.NOT_RUN:
             code = ErrorCode.QUEUE_FULL
-        return RunkeelError(code, progress.service, verdict, self._seconds_until_room(progress))
+        return RunkeelError(code, progress.service, verdict, self._retry_after_seconds(progress))
 
-    def _seconds_until_room(self, progress: _Progress) -> float:
+    def _retry_after_seconds(self, progress: _Progress) -> float:
         servers = self._directory.candidates(progress.service)
-        return seconds_until_room(servers, steady_seconds())
+        return estimate_retry_after(servers, steady_seconds())
 
     def _log_attempt(self, progress: _Progress, outcome: _Outcome) -> None:
         logger.info(
@@ -299,8 +304,8 @@
         )
 
 
-def _judge(state: BackendState, outcome: _Outcome) -> None:
-    """Note in the server's state how an attempt went."""
+def _record_outcome(state: BackendState, outcome: _Outcome) -> None:
+    """Record the outcome of an attempt in the state of its server."""
     if outcome.answer_class is AnswerClass.SUCCESS:
         state.succeeded()
     elif outcome.answer_class is AnswerClass.REFUSED:
@@ -309,11 +314,11 @@
         state.failed()
 
 
-def _release(state: BackendState) -> None:
-    """Count an attempt no more; also one that was ended before it began."""
+def _release_slot(state: BackendState) -> None:
+    """Release the server's slot; also called for an attempt killed before it started."""
     state.in_flight -= 1
 
 
-def _report_gone(gone: Event, results: Queue) -> None:
+def _report_disconnect(gone: Event, results: Queue) -> None:
     gone.wait()
-    results.put(_GONE)
+    results.put(_CLIENT_DISCONNECTED)
--- a/src/runkeel/gateway/return_time.py
+++ b/src/runkeel/gateway/return_time.py
@@ -27,7 +27,7 @@
 """Callers that were refused at one moment come back spread over so large a part of the time."""
 
 
-def seconds_until_room(servers: Iterable[BackendState], now: float) -> float:
+def estimate_retry_after(servers: Iterable[BackendState], now: float) -> float:
     """Return after how long a request may find room.
 
     Args:
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -16,7 +16,7 @@
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 from runkeel.gateway.backends import BackendDirectory, BackendState, choose_backend
 from runkeel.gateway.event_order import follows
-from runkeel.gateway.return_time import seconds_until_room
+from runkeel.gateway.return_time import estimate_retry_after
 from runkeel.http.frontend import AnswerBrokenOffError
 from runkeel.metrics import ATTEMPTS
 from runkeel.quarantine.quarantine import Quarantine, WatchedRequest
@@ -142,7 +142,7 @@
             return failure
         if error.code is ErrorCode.QUEUE_FULL:
             servers = self._directory.candidates(relay.service)
-            error.retry_after_seconds = seconds_until_room(servers, steady_seconds())
+            error.retry_after_seconds = estimate_retry_after(servers, steady_seconds())
         raise error
 
     def _try(self, relay: _Relay, state: BackendState) -> OpenedStream | None:
@@ -157,11 +157,11 @@
         outgoing = self._protocol.encode_plain(request, state.backend, remaining)
         state.in_flight += 1
         stream: HttpAnswerStream | None = None
-        leaver = gevent.spawn(_close_when_gone, relay.gone, gevent.getcurrent())
+        disconnect_watcher = gevent.spawn(_close_when_gone, relay.gone, gevent.getcurrent())
         try:
             stream = state.pool.open_stream(outgoing, relay.deadline)
         finally:
-            leaver.kill(block=False)
+            disconnect_watcher.kill(block=False)
             if stream is None:
                 state.in_flight -= 1
         relay.watched.note_reached()
--- a/tests/gateway/scripted_servers.py
+++ b/tests/gateway/scripted_servers.py
@@ -1,4 +1,4 @@
-"""Servers that do as they are told, and a protocol that reads their status alone."""
+"""Connection pools with scripted responses, and a protocol that classifies by status alone."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StatusProtocol:
-    """The status tells all; an event's block is its id."""
+    """Classifies by status alone; the text of an event is its id."""
 
     def __init__(self):
         self.resumed_after = []
@@ -38,7 +38,7 @@
 
 
 class ScriptedPool:
-    """Answers as scripted: a status, an error, or a function of the deadline."""
+    """Responds as scripted: a status, an error, or a function of the deadline."""
 
     idle_connections = 0
     reachability = Reachability.OPEN
@@ -54,7 +54,7 @@
         return answer
 
     def open_stream(self, outgoing, deadline):
-        return ScriptedStream(self._next(deadline), self._pieces())
+        return ScriptedStream(self._next(deadline), self._next_chunks())
 
     def probe(self, seconds):
         return self.reachability
@@ -71,31 +71,31 @@
             raise step
         return step
 
-    def _pieces(self):
+    def _next_chunks(self):
         return self.script.pop(0) if self.script and isinstance(self.script[0], list) else []
 
 
 class ScriptedStream:
-    """Gives the pieces one after the other; an error among them is raised."""
+    """Returns the chunks in order; raises those that are errors."""
 
     headers = ()
 
-    def __init__(self, status, pieces):
+    def __init__(self, status, remaining_chunks):
         self.status = status
-        self.pieces = list(pieces)
+        self.remaining_chunks = list(remaining_chunks)
         self.closed = False
 
     def read_chunk(self, deadline):
-        if not self.pieces:
+        if not self.remaining_chunks:
             return None
-        piece = self.pieces.pop(0)
-        if isinstance(piece, Exception):
-            raise piece
-        return piece
+        chunk = self.remaining_chunks.pop(0)
+        if isinstance(chunk, Exception):
+            raise chunk
+        return chunk
 
     def chunks(self, deadline):
-        while (piece := self.read_chunk(deadline)) is not None:
-            yield piece
+        while (chunk := self.read_chunk(deadline)) is not None:
+            yield chunk
 
     def close(self):
         self.closed = True
@@ -105,7 +105,7 @@
 
 
 def directory_of(**pools) -> BackendDirectory:
-    """Return the directory of servers with these pools, by id; all in one zone."""
+    """Return a directory of servers with the given pools, by server id; all in one zone."""
     directory = BackendDirectory()
     for name, pool in pools.items():
         directory.put(Backend(name, SERVICE, Address("127.0.0.1", 1), "here", 8))
@@ -114,13 +114,13 @@
 
 
 def silent(deadline: float):
-    """Say nothing until the deadline."""
+    """Don't respond until the deadline."""
     gevent.sleep(max(0.0, deadline - steady_seconds()))
     raise may_have_run(ErrorCode.DEADLINE_EXCEEDED, "silent")
 
 
 def after(seconds: float, status: int):
-    """Answer with a status after a while."""
+    """Respond with a status after a delay in seconds."""
 
     def step(deadline):
         gevent.sleep(seconds)
@@ -130,10 +130,10 @@
 
 
 def lost() -> Exception:
-    """A connection that was lost after the request was sent."""
+    """Return the error of a connection lost after the request was sent."""
     return may_have_run(ErrorCode.BACKEND_LOST, "reset")
 
 
 def unreachable() -> Exception:
-    """A connection that never came about."""
+    """Return the error of a connection that was refused."""
     return not_run(ErrorCode.BACKEND_UNREACHABLE, "refused")
--- a/tests/gateway/test_burst.py
+++ b/tests/gateway/test_burst.py
@@ -1,7 +1,6 @@
-"""Requests that come to one node at one moment are spread over the servers.
+"""Simultaneous requests at one node are spread over all servers.
 
-Forty at once, three servers in the node's zone and seven elsewhere, six places each. Most at one
-server: 14 to 18 before, all at the zone's three; 4 since.
+Guards against overloading the servers of the node's own zone while others are idle.
 """
 
 import unittest
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Attempts, retries, hedges and deadlines of plain requests."""
+"""Attempts, retries, hedging and deadlines of plain requests."""
 
 import unittest
 
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -1,4 +1,4 @@
-"""What the forwarders send of requests under which servers have ended."""
+"""Which requests the forwarders still send after servers have crashed while running them."""
 
 import unittest
 from dataclasses import replace
@@ -33,7 +33,7 @@
 
 
 class EndingPool(ScriptedPool):
-    """A server that has ended when anybody looks whether it is there."""
+    """Refuses connections when probed."""
 
     reachability = Reachability.REFUSED
 
@@ -158,7 +158,7 @@
         self.assertEqual(len(self.ledger), 1)
 
     def test_server_that_goes_after_the_client_has_left_has_ended(self):
-        """A client that gives up early must not hide under which request servers end."""
+        """A client that disconnects early must not hide which request crashes servers."""
         gone = Event()
         gevent.spawn_later(0.05, gone.set)
         with self.assertRaises(RunkeelError):
@@ -168,7 +168,7 @@
         self.assertEqual(len(self.ledger), 1)
 
     def test_server_that_starts_anew_under_its_id_has_ended(self):
-        """Neither its entry goes nor another id comes, so that the crash was not counted."""
+        """Guards against missing the crash of a server that restarts under the same id."""
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
         before = self.directory.get("a")
         self.assertEqual(len(self.ledger), 0)
@@ -186,7 +186,7 @@
         self.assertEqual(len(self.ledger), 0)
 
     def test_connection_that_breaks_once_the_server_has_started_anew(self):
-        """Its news may be quicker than the end of the connection."""
+        """The update of the directory may arrive before the connection closes."""
         fingerprint = self.quarantine.fingerprints.of_plain(REQUEST)
         self.failure(make_route(attempts=1), {"a": ScriptedPool(silent)})
         state = self.directory.get("a")
@@ -216,7 +216,7 @@
 
 
 class HedgeQuarantineTest(QuarantineCase):
-    """Attempts of which another one was answered."""
+    """Attempts that were cancelled because another attempt succeeded."""
 
     def test_server_that_goes_after_another_one_answered_is_no_reason_for_suspicion(self):
         pools = {name: ScriptedPool(silent) for name in ("a", "b")}
@@ -229,7 +229,7 @@
 
 
 class StreamQuarantineTest(ForwarderQuarantineTest):
-    """Streams go by the same."""
+    """Runs the same tests for streams."""
 
     def forward(self, route, pools, request=REQUEST, gone=None):
         meter = UsageMeter(5.0, lambda: 1_000.0)
--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_return_time.py
@@ -14,7 +14,7 @@
     LONGEST_SECONDS,
     NO_SERVER_SECONDS,
     SHORTEST_SECONDS,
-    seconds_until_room,
+    estimate_retry_after,
 )
 from runkeel.usage.meter import UsageMeter
 from tests.gateway.scripted_servers import (
@@ -39,7 +39,7 @@
     def drawn(self, servers=None):
         now = steady_seconds()
         known = self.servers if servers is None else servers
-        return [seconds_until_room(known, now) for _ in range(DRAWS)]
+        return [estimate_retry_after(known, now) for _ in range(DRAWS)]
 
     def test_full_servers_have_room_after_about_one_request(self):
         for state, seconds in zip(self.servers, (0.4, 0.25), strict=True):
