--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -1,4 +1,4 @@
-"""The servers that this node knows, its connections to them, and which to use next."""
+"""Directory of the known servers, their connection pools and health, and server selection."""
 
 from __future__ import annotations
 
@@ -12,55 +12,55 @@
 from runkeel.api.fleet import Backend
 from runkeel.backends.http_connection import HttpConnectionPool
 from runkeel.clock import steady_seconds
-from runkeel.gateway.directory_news import DirectoryNews
+from runkeel.gateway.directory_news import BackendChangeLog
 from runkeel.gateway.indexed_set import IndexedSet
 from runkeel.gateway.server_starts import ServerStarts, is_told
 
 CANDIDATES = 16
-"""A request's server is chosen among so many of a larger service.
+"""Maximum number of servers considered per request, to bound the cost of the selection.
 
-The cost of a choice is that of looking at each candidate, 1 to 2 us. Each node keeps to the same
-ones, so that its connections are used again.
+A node keeps using the same candidates of a larger service, so that connections are reused.
 """
 
-FIRST_EJECTION_SECONDS = 0.5
-"""A server whose answer or connection was lost is left for so long; each further loss in a row
-doubles it. Half a second is what a server's restart on the users' platform takes at the least.
+BASE_EJECTION_SECONDS = 0.5
+"""Time for which a server is avoided after a lost connection or response.
+
+Each consecutive failure doubles it.
 """
 
-LONGEST_EJECTION_SECONDS = 4.0
-"""A server that came back is found after so long at the latest."""
+MAX_EJECTION_SECONDS = 4.0
+"""Upper bound of the ejection time, so that a recovered server is found again."""
 
-MOST_FAILURES = 100
-"""Losses in a row are counted up to here; the pause has its full length from the fourth on."""
+MAX_COUNTED_FAILURES = 100
+"""Consecutive failures are counted up to this number."""
 
-ENDED_SECONDS = 10.0
-"""A server that has ended is tried again after so long, if its entry is still there.
+ENDED_RETRY_SECONDS = 10.0
+"""An ended server whose entry still exists is tried again after this time.
 
-The entry of one that is gone goes within 6 s: three heartbeats of 1.2 s, and the news of it. Later
-it has come back under its id, or the store is away and can't tell; a try costs a refused connection
-of 3 ms. Without this bound a server that came back without saying so got no work for good.
+The entry of a server that is gone is removed earlier than that. One that remains belongs to a
+server that restarted without reporting it, or the document store is unavailable.
 """
 
 REFUSAL_PAUSE_SECONDS = 0.05
-"""A full server is left for so long, about as long as one request runs there."""
-
+"""Time for which a server is avoided after it refused a request because it was full."""
 
-ANSWER_WEIGHT = 0.3
-"""Weight of the newest answer: a server that turned slow shows after three."""
+RESPONSE_TIME_WEIGHT = 0.3
+"""Weight of the newest sample in the moving average of response times."""
 
-MAXIMUM_UNREADABLE = 1_000
-"""Entries that name no server and are remembered for operators; a writer may make them without
-end."""
+MAX_UNREADABLE_ENTRIES = 1_000
+"""Maximum number of unreadable entries without a known server that are kept for operators."""
 
 
 class BackendState:
-    """One start of a server and what this node knows of it from its own requests.
+    """One incarnation of a server, and its health as observed by this node's requests.
 
     Attributes:
-        answered_at: steady time of its last answer to a request of this node.
-        answer_seconds: how long its answers take, those of late weighing most; 0: not known.
-        replaced: the server has started anew under its id, so that this start is over.
+        in_flight: requests of this node in flight.
+        failures: consecutive failures.
+        avoid_until: steady clock time, in seconds, until which the server is avoided.
+        answered_at: steady clock time of its last response to a request of this node.
+        answer_seconds: moving average of its response times in seconds; 0 if unknown.
+        replaced: whether a newer incarnation has taken over the server id.
     """
 
     def __init__(self, backend: Backend) -> None:
@@ -70,66 +70,65 @@
         self.failures = 0
         self.avoid_until = 0.0
         self.answered_at = 0.0
-        self.answer_seconds = 0.0
+        self.average_response_seconds = 0.0
         self.replaced = False
-        self._ended_at = -ENDED_SECONDS
+        self._ended_at = -ENDED_RETRY_SECONDS
 
     @property
     def backend_id(self) -> str:
-        """The server's id."""
         return self.backend.backend_id
 
     @property
     def incarnation(self) -> str:
-        """Names this start of the server; see :attr:`runkeel.api.fleet.Backend.incarnation`."""
+        """Identifies this incarnation; see :attr:`runkeel.api.fleet.Backend.incarnation`."""
         return self.backend.incarnation
 
     @property
     def ended(self) -> bool:
-        """Whether it has ended, as seen here or told by another node a short while ago."""
-        return self.replaced or steady_seconds() < self._ended_at + ENDED_SECONDS
+        """Whether it has been replaced, or was recently found to have ended."""
+        return self.replaced or steady_seconds() < self._ended_at + ENDED_RETRY_SECONDS
 
     def note_ended(self) -> None:
-        """Note that nobody listens at its address any more."""
+        """Record that nothing listens at its address any more."""
         self._ended_at = steady_seconds()
 
     def succeeded(self) -> None:
-        """Note an answer."""
+        """Record a successful request; clears failures."""
         self.answered_at = steady_seconds()
-        self._ended_at = -ENDED_SECONDS
+        self._ended_at = -ENDED_RETRY_SECONDS
         self.failures = 0
         self.avoid_until = 0.0
 
-    def note_answer_time(self, seconds: float) -> None:
-        """Take how long an answer took."""
-        before = self.answer_seconds or seconds
-        self.answer_seconds = before + ANSWER_WEIGHT * (seconds - before)
+    def record_response_time(self, seconds: float) -> None:
+        """Add a response time, in seconds, to the moving average."""
+        before = self.average_response_seconds or seconds
+        self.average_response_seconds = before + RESPONSE_TIME_WEIGHT * (seconds - before)
 
     def refused(self) -> None:
-        """Note that the server was full."""
+        """Record that the server was full."""
         self.avoid_until = max(self.avoid_until, steady_seconds() + REFUSAL_PAUSE_SECONDS)
 
     def failed(self) -> None:
-        """Note a lost connection or answer; repeated ones take the server out for longer."""
-        # Bounded: from 1,025 on the power is no number that a pause can be made of.
-        self.failures = min(MOST_FAILURES, self.failures + 1)
-        pause = min(LONGEST_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2 ** (self.failures - 1))
+        """Record a lost connection or response; ejects the server, longer each time in a row."""
+        # Bounded, as the power would overflow a float from 1,025 failures on.
+        self.failures = min(MAX_COUNTED_FAILURES, self.failures + 1)
+        pause = min(MAX_EJECTION_SECONDS, BASE_EJECTION_SECONDS * 2 ** (self.failures - 1))
         self.avoid_until = steady_seconds() + pause
 
     def avoided(self, now: float) -> bool:
-        """Return whether requests should go elsewhere for the moment."""
+        """Return whether requests should prefer other servers at this steady clock time."""
         return self.ended or now < self.avoid_until
 
 
 class BackendDirectory:
-    """All servers by id; replaced entries keep their connections.
+    """All known servers by id.
 
-    What is kept of a server elsewhere goes by :attr:`BackendState.incarnation`, so that nothing of
-    one start is taken for the next.
+    An update of the same incarnation keeps its connections. State that other classes keep about a
+    server is keyed by :attr:`BackendState.incarnation`, so that it isn't applied to a later one.
 
     Attributes:
-        membership_changes: grows whenever a server joins those that take new work, or leaves them.
-        unreadable: why the entry of an id can't be read, of those that name no known server.
+        membership_changes: incremented whenever a server starts or stops taking new work.
+        unreadable: by server id, why an entry that belongs to no known server can't be read.
     """
 
     def __init__(self) -> None:
@@ -137,72 +136,73 @@
         self._services: dict[str, IndexedSet[BackendState]] = {}
         """Servers that take new work, by service."""
         self._preferred: dict[str, list[BackendState]] = {}
-        """The candidates of a service that has more than are looked at."""
+        """Candidates of each service that has more than CANDIDATES servers."""
         self._starts = ServerStarts()
-        self._news = DirectoryNews()
+        self._change_log = BackendChangeLog()
         self._listeners: list[Callable[[str], None]] = []
         self._end_listeners: list[Callable[[BackendState], None]] = []
         self.membership_changes = 0
         self.unreadable: OrderedDict[str, str] = OrderedDict()
 
     def on_change(self, listener: Callable[[str], None]) -> None:
-        """Call a listener with the service's name whenever one of its servers changes."""
+        """Register a listener that gets the service's name whenever one of its servers changes."""
         self._listeners.append(listener)
 
     def on_end(self, listener: Callable[[BackendState], None]) -> None:
-        """Call a listener with each start that is over: its server is gone, or started anew.
+        """Register a listener for incarnations that ended: the server left or was restarted.
 
-        All that keep something by a server's start forget it then, all in one call.
+        The listener has to drop everything that is kept for the incarnation, within the call.
         """
         self._end_listeners.append(listener)
 
     def put(self, backend: Backend, revision: int = 0) -> bool:
-        """Add a server or take its new state; False: the news is of a start that is over.
+        """Add or update a server; returns False if the entry is of an incarnation that is over.
 
         Args:
-            revision: of the server's entry.
+            backend: the server as its entry describes it.
+            revision: revision of the entry.
         """
-        settled = self._starts.settle(backend, revision)
-        if settled is None:
+        resolved = self._starts.settle(backend, revision)
+        if resolved is None:
             logger.info(
-                "entry of a start that is over",
+                "ignored entry of a previous incarnation",
                 code="backend_start_over",
                 backend=backend.incarnation,
                 revision=revision,
             )
             return False
-        self._take(settled)
+        self._apply(resolved)
         return True
 
     def note_reported(self, state: BackendState, start: str) -> None:
-        """Take note of the start that a server told in an answer of its own."""
+        """Process the start that a server reported in a response."""
         if self._states.get(state.backend_id) is not state:
             return
         renewed = self._starts.note_reported(state.backend, start)
         if renewed is not None:
-            self._take(renewed)
+            self._apply(renewed)
 
     def note_unreadable(self, backend_id: str, reason: str) -> None:
-        """Take note of an entry that can't be read: its server gets no new work.
+        """Record that an entry can't be read; its server gets no new work until it can.
 
-        What runs there goes on: that a writer broke the entry says nothing of the server.
+        Requests in flight continue, as a malformed entry doesn't mean that the server failed.
         """
         state = self._states.get(backend_id)
         if state is not None:
-            self._take(replace(state.backend, unreadable=reason))
+            self._apply(replace(state.backend, unreadable=reason))
             return
         self.unreadable[backend_id] = reason
-        if len(self.unreadable) > MAXIMUM_UNREADABLE:
+        if len(self.unreadable) > MAX_UNREADABLE_ENTRIES:
             self.unreadable.popitem(last=False)
 
-    def _take(self, backend: Backend) -> None:
-        """Take a server's new state, or its new start."""
+    def _apply(self, backend: Backend) -> None:
+        """Apply an update of a server, replacing its state if the incarnation differs."""
         self.unreadable.pop(backend.backend_id, None)
         state = self._states.get(backend.backend_id)
-        if state is not None and _is_another(state.backend, backend):
-            self._end(state, backend)
+        if state is not None and _is_replacement(state.backend, backend):
+            self._retire(state, backend)
             state = None
-        self._news.put(None if state is None else state.backend, backend)
+        self._change_log.put(None if state is None else state.backend, backend)
         if state is None:
             state = self._states[backend.backend_id] = BackendState(backend)
         else:
@@ -215,10 +215,10 @@
             self._leave(state)
         self._notify(backend.service)
 
-    def _end(self, state: BackendState, successor: Backend) -> None:
-        """End what is known of a start whose server has started anew, and what waits for it."""
+    def _retire(self, state: BackendState, successor: Backend) -> None:
+        """Remove the state of a replaced incarnation and abort its requests."""
         logger.warning(
-            "server started anew under its id",
+            "server restarted under the same id",
             code="backend_restarted",
             backend=successor.incarnation,
             before=state.incarnation,
@@ -235,7 +235,7 @@
         state.pool.abort()
 
     def remove(self, backend_id: str) -> None:
-        """Forget a server that has left."""
+        """Remove a server that has left."""
         self.unreadable.pop(backend_id, None)
         self._starts.forget(backend_id)
         state = self._states.pop(backend_id, None)
@@ -243,20 +243,20 @@
             return
         self._leave(state)
         state.pool.close()
-        self._news.gone(state.backend)
+        self._change_log.gone(state.backend)
         for listener in self._end_listeners:
             listener(state)
         self._notify(state.backend.service)
 
     def get(self, backend_id: str) -> BackendState | None:
-        """Return the state of an id's present start."""
+        """Return the state of the current incarnation of a server id."""
         return self._states.get(backend_id)
 
     def find(self, incarnation: str) -> BackendState | None:
-        """Return the state of a start that another node names, None when it isn't the present one.
+        """Return the state of an incarnation named by another node, None if it isn't current.
 
-        A start that only its count of orders showed may be named otherwise there, or not be known
-        as a new one; such a name stands for the present start if that one wasn't told either.
+        Nodes may name an inferred incarnation differently, or miss it. Such a name therefore
+        matches the current incarnation if that one is inferred as well.
         """
         backend_id, _, start = incarnation.partition("@")
         state = self._states.get(incarnation) or self._states.get(backend_id)
@@ -269,11 +269,12 @@
         return list(self._services.get(service, ()))
 
     def candidates(self, service: str, tried: Collection[str] = ()) -> list[BackendState]:
-        """Return the servers among which a request's is chosen: all, or a bounded part of many.
+        """Return the servers to choose from for a request: all, or a bounded subset of many.
 
         Args:
-            tried: servers that are not wanted again; where no other one is left, further ones
-                are drawn.
+            service: name of the service.
+            tried: incarnations already tried; if all preferred servers are among them or avoided,
+                further ones are sampled.
         """
         members = self._services.get(service)
         if members is None:
@@ -287,15 +288,15 @@
         return [*preferred, *members.sample(CANDIDATES)]
 
     def all(self) -> list[BackendState]:
-        """Return all servers, those that leave too."""
+        """Return all servers, including those that are draining."""
         return list(self._states.values())
 
     def _preferred_of(self, service: str, members: IndexedSet[BackendState]) -> list[BackendState]:
         kept = [one for one in self._preferred.get(service, ()) if one.incarnation in members]
         if len(kept) < CANDIDATES:
             known = {one.incarnation for one in kept}
-            drawn = [one for one in members.sample(CANDIDATES) if one.incarnation not in known]
-            kept += drawn[: CANDIDATES - len(kept)]
+            sampled = [one for one in members.sample(CANDIDATES) if one.incarnation not in known]
+            kept += sampled[: CANDIDATES - len(kept)]
         self._preferred[service] = kept
         return kept
 
@@ -314,18 +315,18 @@
             listener(service)
 
 
-def _is_another(known: Backend, backend: Backend) -> bool:
-    """Return whether a server's news is of another start, or of another address all the same."""
+def _is_replacement(known: Backend, backend: Backend) -> bool:
+    """Return whether an update is of another incarnation or address than the known one."""
     return (known.incarnation, known.address) != (backend.incarnation, backend.address)
 
 
 def choose_backend(
     candidates: Iterable[BackendState], tried: set[str], zone: str
 ) -> BackendState | None:
-    """Choose the server with the most room among those not yet tried.
+    """Choose the least loaded server among those not yet tried.
 
-    Servers that failed lately come last; among equals, one with an open connection, then one of
-    this zone.
+    Servers to be avoided come last. Ties are broken in favour of servers with an idle connection,
+    then of servers in this zone, then at random.
     """
     now = steady_seconds()
     untried = [state for state in candidates if state.incarnation not in tried]
--- a/src/runkeel/gateway/directory_news.py
+++ b/src/runkeel/gateway/directory_news.py
@@ -16,7 +16,7 @@
 """So many servers are named of each kind of news; the others are counted."""
 
 
-class DirectoryNews:
+class BackendChangeLog:
     """What has changed since the last line."""
 
     def __init__(self) -> None:
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -257,7 +257,7 @@
             raise
         _record_outcome(state, outcome)
         if outcome.answer_class is AnswerClass.SUCCESS:
-            state.note_answer_time(steady_seconds() - started)
+            state.record_response_time(steady_seconds() - started)
         progress.results.put(outcome)
 
     def _exchange(self, progress: _Progress, state: BackendState) -> _Outcome:
--- a/src/runkeel/gateway/return_time.py
+++ b/src/runkeel/gateway/return_time.py
@@ -47,4 +47,4 @@
     if state.failures:
         # Connections or answers were lost: it is left until its pause is over.
         return max(0.0, state.avoid_until - now)
-    return state.answer_seconds or UNKNOWN_ANSWER_SECONDS
+    return state.average_response_seconds or UNKNOWN_ANSWER_SECONDS
--- a/tests/gateway/test_backends.py
+++ b/tests/gateway/test_backends.py
@@ -1,4 +1,4 @@
-"""Which servers a request's is chosen among, and which one is."""
+"""Candidates of a service, and selection of a server among them."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.gateway.backends import (
     CANDIDATES,
-    LONGEST_EJECTION_SECONDS,
+    MAX_EJECTION_SECONDS,
     BackendDirectory,
     choose_backend,
 )
@@ -38,14 +38,14 @@
         self.assertEqual(self._names(), ["a"])
 
     def test_server_that_fails_for_hours_is_left_for_a_bounded_time(self):
-        """From the 1,025th loss in a row on, the attempt ended without a word to its request."""
+        """Guards against an overflow of the backoff after 1,024 consecutive failures."""
         self.directory.put(make_backend("a"))
         state = self.directory.get("a")
         for _ in range(5_000):
             state.failed()
         now = steady_seconds()
-        self.assertTrue(state.avoided(now + LONGEST_EJECTION_SECONDS - 0.1))
-        self.assertFalse(state.avoided(now + LONGEST_EJECTION_SECONDS + 0.1))
+        self.assertTrue(state.avoided(now + MAX_EJECTION_SECONDS - 0.1))
+        self.assertFalse(state.avoided(now + MAX_EJECTION_SECONDS + 0.1))
 
     def test_server_that_begins_to_leave_is_no_candidate(self):
         self.directory.put(make_backend("a"))
@@ -60,7 +60,7 @@
         self.assertEqual(self._names(), [])
 
     def test_few_of_many_and_the_same_ones_again(self):
-        """The cost of a choice must not grow with the servers: 10 ms at 4,200 before."""
+        """Guards against a selection cost that grows with the number of servers."""
         self._put_many()
         names = self._names()
         self.assertEqual(len(set(names)), CANDIDATES)
--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_return_time.py
@@ -7,7 +7,7 @@
 from runkeel.api.backend_protocol import PlainRequest
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.gateway.backends import FIRST_EJECTION_SECONDS
+from runkeel.gateway.backends import BASE_EJECTION_SECONDS
 from runkeel.gateway.forwarder import Forwarder
 from runkeel.gateway.return_time import (
     JITTER,
@@ -43,7 +43,7 @@
 
     def test_full_servers_have_room_after_about_one_request(self):
         for state, seconds in zip(self.servers, (0.4, 0.25), strict=True):
-            state.note_answer_time(seconds)
+            state.record_response_time(seconds)
             state.refused()
         for wait in self.drawn():
             self.assertTrue(0.25 <= wait <= 0.25 * (1 + JITTER), wait)
@@ -52,8 +52,8 @@
         for state in self.servers:
             state.failed()
         for wait in self.drawn():
-            self.assertGreater(wait, 0.9 * FIRST_EJECTION_SECONDS)
-            self.assertLessEqual(wait, FIRST_EJECTION_SECONDS * (1 + JITTER))
+            self.assertGreater(wait, 0.9 * BASE_EJECTION_SECONDS)
+            self.assertLessEqual(wait, BASE_EJECTION_SECONDS * (1 + JITTER))
 
     def test_no_server_or_only_such_as_have_ended(self):
         for state in self.servers:
@@ -62,7 +62,7 @@
             self.assertTrue(NO_SERVER_SECONDS <= wait <= NO_SERVER_SECONDS * (1 + JITTER))
 
     def test_never_too_soon_nor_too_late(self):
-        self.servers[0].note_answer_time(0.001)
+        self.servers[0].record_response_time(0.001)
         self.assertGreaterEqual(min(self.drawn()), SHORTEST_SECONDS)
         for state in self.servers:
             for _ in range(20):
@@ -74,10 +74,10 @@
 
     def test_answer_times_follow_a_server_that_turns_slow(self):
         state = self.servers[0]
-        state.note_answer_time(0.02)
+        state.record_response_time(0.02)
         for _ in range(5):
-            state.note_answer_time(0.2)
-        self.assertGreater(state.answer_seconds, 0.15)
+            state.record_response_time(0.2)
+        self.assertGreater(state.average_response_seconds, 0.15)
 
 
 class ReturningCallersTest(unittest.TestCase):
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -12,7 +12,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway import backends
-from runkeel.gateway.backends import MAXIMUM_UNREADABLE, BackendDirectory
+from runkeel.gateway.backends import MAX_UNREADABLE_ENTRIES, BackendDirectory
 from runkeel.gateway.server_starts import EARLIER_STARTS
 
 SERVICE = "ledger"
@@ -159,7 +159,7 @@
         self.put(started())
         self.state().note_ended()
         self.assertTrue(self.state().avoided(steady_seconds()))
-        with mock.patch.object(backends, "ENDED_SECONDS", 0.0):
+        with mock.patch.object(backends, "ENDED_RETRY_SECONDS", 0.0):
             self.assertFalse(self.state().avoided(steady_seconds()))
 
 
@@ -226,9 +226,9 @@
         self.assertFalse(self.directory.unreadable)
 
     def test_entries_without_end_are_remembered_in_a_bounded_number(self):
-        for number in range(MAXIMUM_UNREADABLE + 10):
+        for number in range(MAX_UNREADABLE_ENTRIES + 10):
             self.directory.note_unreadable(f"other-{number}", "State: missing")
-        self.assertEqual(len(self.directory.unreadable), MAXIMUM_UNREADABLE)
+        self.assertEqual(len(self.directory.unreadable), MAX_UNREADABLE_ENTRIES)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_starts_fuzz.py
+++ b/tests/gateway/test_starts_fuzz.py
@@ -20,7 +20,7 @@
         run_state_machine_as_test(StartsMachine, settings=OPTIONS)
 
     def test_holder_that_keeps_the_earlier_start_is_found(self):
-        with mock.patch.object(backends, "_is_another", lambda known, backend: False):
+        with mock.patch.object(backends, "_is_replacement", lambda known, backend: False):
             self.assertIsNotNone(find_violation(StartsMachine, FEW))
 
     def test_news_of_an_earlier_start_that_is_taken_is_found(self):
