--- a/src/runkeel/gateway/event_order.py
+++ b/src/runkeel/gateway/event_order.py
@@ -1,17 +1,18 @@
-"""Tells whether an event continues a stream.
+"""Sequence check of the event ids of a stream.
 
-A server may send a second answer to an earlier run of the same request in the place of the one
-that was asked for. It has the right id; only its events tell it from the right one.
+A server may respond with the stream of an earlier attempt of the same request. Its request id
+matches; only a gap in the event ids shows that it is the wrong stream.
 """
 
 from __future__ import annotations
 
 
 def follows(last_event_id: str | None, event_id: str) -> bool:
-    """Return whether an event is the next one after the last; True where the ids don't tell.
+    """Return whether an event is the next one in sequence; True if the ids aren't numeric.
 
     Args:
-        last_event_id: None before the first event.
+        last_event_id: id of the previous event, None before the first one.
+        event_id: id of the event to check.
     """
     if not event_id.isdigit():
         return True
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Relays streams of events, and continues a broken one at another server where that is allowed."""
+"""Relays event streams, and resumes a broken resumable stream at another server."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from runkeel.quarantine.quarantine import Quarantine, WatchedRequest
 from runkeel.usage.meter import UsageMeter
 
-LONGEST_SILENCE_SECONDS = 3.0
-"""After so long without a byte a resumable stream is continued elsewhere."""
+STREAM_IDLE_TIMEOUT_SECONDS = 3.0
+"""A resumable stream that receives no byte for this time is resumed at another server."""
 
-_EVENT_END = b"\n\n"
+_EVENT_SEPARATOR = b"\n\n"
 
 
 @dataclass(slots=True)
 class OpenedStream:
-    """An answer whose body is relayed as it comes."""
+    """A response whose body is relayed as it arrives."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class _Relay:
-    """One client stream and its runs at servers."""
+    """State of one client stream and its attempts."""
 
     request: PlainRequest
     watched: WatchedRequest
@@ -55,11 +55,12 @@
 
 
 class StreamForwarder:
-    """Passes streams on.
+    """Forwards streaming requests.
 
     Args:
-        meter: counts the streams that servers began.
-        quarantine: keeps requests that crash servers away from further ones.
+        zone: zone of this node; servers of the same zone are preferred.
+        meter: counts the streams that servers started.
+        quarantine: holds back requests that crash servers.
     """
 
     def __init__(
@@ -79,30 +80,34 @@
     def open(
         self, request: PlainRequest, route: Route, service: str, deadline: float, gone: Event
     ) -> OpenedStream:
-        """Return a stream once a server has begun to answer.
+        """Return a stream once a server has sent its response headers.
+
+        Args:
+            deadline: steady clock time, in seconds, by which the response has to be complete.
+            gone: set when the client has disconnected.
 
         Raises:
-            RunkeelError: with verdict NOT_RUN only when no server runs the request.
+            RunkeelError: with verdict NOT_RUN only if no server ran the request.
         """
         watched = self._quarantine.watch(
             lambda: self._quarantine.fingerprints.of_plain(request), service, request.request_id
         )
         relay = _Relay(request, watched, route, service, deadline, gone)
         relay.last_event_id = request.resume_after
-        metered = self._meter.open(request.tenant)
+        usage_entry = self._meter.open(request.tenant)
         try:
             failure = self._connect(relay)
         finally:
             if not relay.sent:
                 watched.return_trial()
-            began_at = self._meter.now() if relay.sent else None
-            self._meter.close(metered, request.tenant, began_at)
+            started_at = self._meter.now() if relay.sent else None
+            self._meter.close(usage_entry, request.tenant, started_at)
         if failure is not None:
             return failure
         return OpenedStream(relay.stream.status, relay.stream.headers, self._relay(relay))
 
     def _connect(self, relay: _Relay) -> OpenedStream | None:
-        """Open a run at a server; returns a server's own failure answer if there is no better."""
+        """Open a stream at a server; returns the last failure response if no server opens one."""
         failure: OpenedStream | None = None
         error = not_run(ErrorCode.QUEUE_FULL, relay.service)
         while steady_seconds() < relay.deadline and not relay.gone.is_set():
@@ -120,15 +125,15 @@
                 relay.watched.admit()
             relay.tried.add(state.incarnation)
             try:
-                outcome = self._try(relay, state)
-            except RunkeelError as caught:
-                ATTEMPTS.labels(relay.service, str(caught.code)).inc()
+                outcome = self._open_at(relay, state)
+            except RunkeelError as raised:
+                ATTEMPTS.labels(relay.service, str(raised.code)).inc()
                 state.failed()
-                relay.watched.lost(state, caught)
-                if caught.verdict is Verdict.NOT_RUN:
+                relay.watched.lost(state, raised)
+                if raised.verdict is Verdict.NOT_RUN:
                     continue
                 relay.sent += 1
-                error = caught
+                error = raised
                 if not relay.route.repeatable:
                     raise
                 continue
@@ -145,19 +150,19 @@
             error.retry_after_seconds = estimate_retry_after(servers, steady_seconds())
         raise error
 
-    def _try(self, relay: _Relay, state: BackendState) -> OpenedStream | None:
+    def _open_at(self, relay: _Relay, state: BackendState) -> OpenedStream | None:
         """Send the request to one server.
 
         Returns:
-            None when its stream is open, an answer without status when it refused, else its
-            failure.
+            None if the stream is open, a response with status 0 if the server refused the
+            request, otherwise the server's failure response.
         """
         remaining = relay.deadline - steady_seconds()
         request = replace(relay.request, resume_after=relay.last_event_id)
         outgoing = self._protocol.encode_plain(request, state.backend, remaining)
         state.in_flight += 1
         stream: HttpAnswerStream | None = None
-        disconnect_watcher = gevent.spawn(_close_when_gone, relay.gone, gevent.getcurrent())
+        disconnect_watcher = gevent.spawn(_cancel_on_disconnect, relay.gone, gevent.getcurrent())
         try:
             stream = state.pool.open_stream(outgoing, relay.deadline)
         finally:
@@ -192,31 +197,33 @@
             return OpenedStream(0, [], b"")
         relay.sent += 1
         if answer_class is AnswerClass.FOREIGN:
-            raise RunkeelError(ErrorCode.BACKEND_LOST, "the answer is not to this request")
+            raise RunkeelError(ErrorCode.BACKEND_LOST, "response to a different request")
         return OpenedStream(stream.status, stream.headers, body)
 
     def _relay(self, relay: _Relay) -> Iterator[bytes]:
-        closer = gevent.spawn(_close_stream_when_gone, relay)
+        abort_watcher = gevent.spawn(_abort_on_disconnect, relay)
         try:
             while True:
-                error = yield from self._relay_run(relay)
+                error = yield from self._relay_attempt(relay)
                 if error is None:
                     relay.state.succeeded()
                     relay.watched.succeeded()
                     return
                 self._resume(relay, error)
         finally:
-            closer.kill(block=False)
-            self._release(relay)
+            abort_watcher.kill(block=False)
+            self._close_stream(relay)
 
-    def _relay_run(self, relay: _Relay) -> Iterator[bytes]:
-        """Relay one run; the generator's value is the error that broke it off, or None."""
+    def _relay_attempt(self, relay: _Relay) -> Iterator[bytes]:
+        """Relay one attempt; the generator returns the error that interrupted it, or None."""
         buffer = b""
         while True:
-            limit = steady_seconds() + LONGEST_SILENCE_SECONDS
-            patience = min(relay.deadline, limit) if relay.route.resumable else relay.deadline
+            idle_deadline = steady_seconds() + STREAM_IDLE_TIMEOUT_SECONDS
+            read_deadline = (
+                min(relay.deadline, idle_deadline) if relay.route.resumable else relay.deadline
+            )
             try:
-                chunk = relay.stream.read_chunk(patience)
+                chunk = relay.stream.read_chunk(read_deadline)
             except RunkeelError as error:
                 return error
             if chunk is None:
@@ -226,28 +233,28 @@
             if not relay.route.resumable:
                 yield chunk
                 continue
-            *events, buffer = (buffer + chunk).split(_EVENT_END)
+            *events, buffer = (buffer + chunk).split(_EVENT_SEPARATOR)
             for event in events:
-                error = self._note_event(relay, event)
+                error = self._check_event(relay, event)
                 if error is not None:
                     return error
-                yield event + _EVENT_END
+                yield event + _EVENT_SEPARATOR
 
-    def _note_event(self, relay: _Relay, block: bytes) -> RunkeelError | None:
-        """Note an event that is to be passed on; returns an error when it isn't the next one."""
+    def _check_event(self, relay: _Relay, block: bytes) -> RunkeelError | None:
+        """Record the id of an event; returns an error if it isn't the next one in sequence."""
         event = self._protocol.parse_event(block)
         if not event.event_id:
             return None
         if not follows(relay.last_event_id, event.event_id):
-            detail = f"event {event.event_id} after {relay.last_event_id}"
+            detail = f"event {event.event_id} out of sequence after {relay.last_event_id}"
             return RunkeelError(ErrorCode.BACKEND_LOST, detail)
         relay.last_event_id = event.event_id
         return None
 
     def _resume(self, relay: _Relay, error: RunkeelError) -> None:
-        """Continue at another server. Raises AnswerBrokenOffError when that can't be."""
+        """Resume at another server. Raises AnswerBrokenOffError if that fails."""
         logger.info(
-            "stream broken",
+            "stream interrupted",
             code="stream_broken",
             request=relay.request.request_id,
             backend=relay.state.incarnation,
@@ -257,29 +264,29 @@
         )
         relay.state.failed()
         relay.watched.lost(relay.state, error)
-        self._release(relay)
+        self._close_stream(relay)
         if not relay.route.resumable or relay.gone.is_set():
             raise AnswerBrokenOffError(error.detail)
         try:
             failure = self._connect(relay)
-        except RunkeelError as caught:
-            raise AnswerBrokenOffError(caught.detail) from caught
+        except RunkeelError as raised:
+            raise AnswerBrokenOffError(raised.detail) from raised
         if failure is not None:
             raise AnswerBrokenOffError(f"status {failure.status}")
 
-    def _release(self, relay: _Relay) -> None:
+    def _close_stream(self, relay: _Relay) -> None:
         stream, relay.stream = relay.stream, None
         if stream is not None:
             stream.close()
             relay.state.in_flight -= 1
 
 
-def _close_when_gone(gone: Event, waiting: gevent.Greenlet) -> None:
+def _cancel_on_disconnect(gone: Event, opener: gevent.Greenlet) -> None:
     gone.wait()
-    gevent.kill(waiting, RunkeelError(ErrorCode.CANCELLED, "the client has left"))
+    gevent.kill(opener, RunkeelError(ErrorCode.CANCELLED, "the client disconnected"))
 
 
-def _close_stream_when_gone(relay: _Relay) -> None:
+def _abort_on_disconnect(relay: _Relay) -> None:
     relay.gone.wait()
     stream = relay.stream
     if stream is not None:
--- a/tests/gateway/test_burst.py
+++ b/tests/gateway/test_burst.py
@@ -45,7 +45,7 @@
         deadline = steady_seconds() + 10.0
         return self.forwarder.forward(request, make_route(attempts=1), SERVICE, deadline)
 
-    def test_requests_of_one_moment_are_spread(self):
+    def test_simultaneous_requests_are_spread(self):
         tasks = [gevent.spawn(self.send, number) for number in range(REQUESTS)]
         gevent.joinall(tasks, raise_error=True)
         self.assertLessEqual(max(pool.requests for pool in self.pools), SLOTS)
@@ -55,7 +55,7 @@
         gevent.joinall([gevent.spawn(self.send, number) for number in range(REQUESTS)])
         self.assertEqual({one.in_flight for one in self.directory.all()}, {0})
 
-    def test_requests_that_are_ended_before_they_begin_take_no_place(self):
+    def test_requests_killed_before_they_start_take_no_slot(self):
         tasks = [gevent.spawn(self.send, number) for number in range(REQUESTS)]
         gevent.sleep(0)
         gevent.killall(tasks)
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Relayed streams: opened, continued elsewhere, broken off."""
+"""Opening, resuming and aborting relayed streams."""
 
 import unittest
 
@@ -38,7 +38,7 @@
         self.gone = Event()
 
     def open(self, route, last=(), **pools):
-        """Open a stream; servers named last are chosen after all others."""
+        """Open a stream; the servers in ``last`` are chosen after all others."""
         self.directory = directory_of(**pools)
         for name in last:
             self.directory.get(name).failed()
@@ -54,7 +54,7 @@
     def in_flight(self):
         return sum(state.in_flight for state in self.directory.all())
 
-    def test_events_are_passed_on_and_the_place_given_back(self):
+    def test_events_are_relayed_and_the_slot_is_released(self):
         stream = self.open(make_route(), a=ScriptedPool(200, [b"1\n\n2\n", b"\n3\n\n"]))
         self.assertEqual(b"".join(stream.body), b"1\n\n2\n\n3\n\n")
         self.assertEqual((self.in_flight(), self.counted), (0, 1))
