--- a/tests/gateway/test_routing.py
+++ b/tests/gateway/test_routing.py
@@ -1,4 +1,4 @@
-"""Which route and which service a request gets, by one version of the configuration."""
+"""Selection of a route and a service, and versions of the configuration."""
 
 import unittest
 from collections import Counter
