--- a/src/runkeel/gateway/indexed_set.py
+++ b/src/runkeel/gateway/indexed_set.py
@@ -1,4 +1,4 @@
-"""A set from which random members are drawn in a time that does not grow with its size."""
+"""A set that supports random sampling in a time independent of its size."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class IndexedSet(Generic[Member]):
-    """Members by key; adding, removing and drawing one cost the same whatever their number."""
+    """Members by key; adding, removing and sampling a member take constant time."""
 
     def __init__(self) -> None:
         self._members: list[Member] = []
@@ -27,7 +27,7 @@
         return key in self._positions
 
     def add(self, key: str, member: Member) -> bool:
-        """Add a member, or replace the one of this key; True when the key is new."""
+        """Add a member or replace the one with this key; returns True if the key is new."""
         position = self._positions.get(key)
         if position is not None:
             self._members[position] = member
@@ -38,7 +38,7 @@
         return True
 
     def discard(self, key: str) -> bool:
-        """Remove a member; False when there is none. The last one takes its position."""
+        """Remove a member, moving the last one to its position; returns False if none exists."""
         position = self._positions.pop(key, None)
         if position is None:
             return False
@@ -50,12 +50,12 @@
         return True
 
     def get(self, key: str) -> Member | None:
-        """Return a member."""
+        """Return the member with this key, None if none exists."""
         position = self._positions.get(key)
         return None if position is None else self._members[position]
 
     def sample(self, count: int) -> list[Member]:
-        """Return so many random members, or all if there are no more."""
+        """Return ``count`` random members, or all if there are fewer."""
         if len(self._members) <= count:
             return list(self._members)
         return random.sample(self._members, count)
--- a/src/runkeel/gateway/return_time.py
+++ b/src/runkeel/gateway/return_time.py
@@ -1,7 +1,7 @@
-"""When a caller whose request found no room may come back, told from what the servers are like.
+"""Estimates Retry-After for a request that was rejected because no server had a free slot.
 
-A caller that comes back too early finds the same, and has mostly one retry; one that is told to
-come too late misses its time though there is room.
+The estimate follows the state of the servers: most callers retry once, so a retry that comes too
+early fails again, and one that comes too late misses the caller's deadline.
 """
 
 from __future__ import annotations
@@ -11,40 +11,40 @@
 
 from runkeel.gateway.backends import BackendState
 
-SHORTEST_SECONDS = 0.05
-"""Sooner nothing has changed: a request takes some hundredths of a second."""
+MIN_RETRY_SECONDS = 0.05
+"""Lower bound of the estimate, about the duration of a short request."""
 
-LONGEST_SECONDS = 1.0
-"""Later a caller's time is over: aims are 0.15 to 0.5 s, deadlines 0.8 s and more."""
+MAX_RETRY_SECONDS = 1.0
+"""Upper bound of the estimate, so that a retry can still meet the caller's deadline."""
 
-UNKNOWN_ANSWER_SECONDS = 0.1
-"""A full server has a place again after about one request; so long where none was timed yet."""
+DEFAULT_RESPONSE_SECONDS = 0.1
+"""Assumed time until a full server frees a slot if its response time is unknown."""
 
-NO_SERVER_SECONDS = 0.5
-"""Where no server is known, or all have ended: so long takes a restart at the least."""
+RESTART_SECONDS = 0.5
+"""Estimate for a server that has ended, or if no server is known: time of a restart."""
 
-JITTER = 0.3
-"""Callers that were refused at one moment come back spread over so large a part of the time."""
+JITTER_FRACTION = 0.3
+"""Maximum random increase of the estimate, as a fraction, to spread simultaneous retries."""
 
 
 def estimate_retry_after(servers: Iterable[BackendState], now: float) -> float:
-    """Return after how long a request may find room.
+    """Return the time, in seconds, after which a retry may find a free slot.
 
     Args:
-        servers: those of the service that take new work.
-        now: steady time.
+        servers: the servers of the service that take new work.
+        now: steady clock time, in seconds.
     """
-    waits = [_wait(one, now) for one in servers]
-    soonest = min(waits, default=NO_SERVER_SECONDS)
-    spread = soonest * random.uniform(1.0, 1.0 + JITTER)
-    return min(LONGEST_SECONDS, max(SHORTEST_SECONDS, spread))
+    waits = [_seconds_until_free_slot(one, now) for one in servers]
+    soonest = min(waits, default=RESTART_SECONDS)
+    jittered = soonest * random.uniform(1.0, 1.0 + JITTER_FRACTION)
+    return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, jittered))
 
 
-def _wait(state: BackendState, now: float) -> float:
-    """Return after how long one server may have room."""
+def _seconds_until_free_slot(state: BackendState, now: float) -> float:
+    """Return the time, in seconds, after which a server may have a free slot."""
     if state.ended:
-        return NO_SERVER_SECONDS
+        return RESTART_SECONDS
     if state.failures:
-        # Connections or answers were lost: it is left until its pause is over.
+        # After lost connections or responses the server is avoided until its ejection ends.
         return max(0.0, state.avoid_until - now)
-    return state.average_response_seconds or UNKNOWN_ANSWER_SECONDS
+    return state.average_response_seconds or DEFAULT_RESPONSE_SECONDS
--- a/tests/gateway/test_indexed_set.py
+++ b/tests/gateway/test_indexed_set.py
@@ -1,4 +1,4 @@
-"""The set with random members."""
+"""The indexed set behaves like a dictionary and samples distinct members."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 class IndexedSetTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.tuples(st.booleans(), st.sampled_from("abcdefgh"))))
-    def test_like_a_dictionary(self, steps):
+    def test_behaves_like_a_dictionary(self, steps):
         members, model = IndexedSet(), {}
         for number, (add, key) in enumerate(steps):
             if add:
@@ -24,7 +24,7 @@
             self.assertEqual(members.get(key), model.get(key))
             self.assertEqual(len(members), len(model))
 
-    def test_sample_is_all_or_so_many_different_ones(self):
+    def test_sample_returns_all_or_distinct_members(self):
         members = IndexedSet()
         for number in range(20):
             members.add(str(number), number)
--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_return_time.py
@@ -1,4 +1,4 @@
-"""When a caller that found no room is told to come back."""
+"""Retry-After of requests that found no free slot."""
 
 import unittest
 
@@ -10,10 +10,10 @@
 from runkeel.gateway.backends import BASE_EJECTION_SECONDS
 from runkeel.gateway.forwarder import Forwarder
 from runkeel.gateway.return_time import (
-    JITTER,
-    LONGEST_SECONDS,
-    NO_SERVER_SECONDS,
-    SHORTEST_SECONDS,
+    JITTER_FRACTION,
+    MAX_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
+    RESTART_SECONDS,
     estimate_retry_after,
 )
 from runkeel.usage.meter import UsageMeter
@@ -36,41 +36,41 @@
         self.directory = directory_of(a=ScriptedPool(), b=ScriptedPool())
         self.servers = self.directory.of_service(SERVICE)
 
-    def drawn(self, servers=None):
+    def estimates(self, servers=None):
         now = steady_seconds()
         known = self.servers if servers is None else servers
         return [estimate_retry_after(known, now) for _ in range(DRAWS)]
 
-    def test_full_servers_have_room_after_about_one_request(self):
+    def test_full_servers_have_a_free_slot_after_about_one_request(self):
         for state, seconds in zip(self.servers, (0.4, 0.25), strict=True):
             state.record_response_time(seconds)
             state.refused()
-        for wait in self.drawn():
-            self.assertTrue(0.25 <= wait <= 0.25 * (1 + JITTER), wait)
+        for wait in self.estimates():
+            self.assertTrue(0.25 <= wait <= 0.25 * (1 + JITTER_FRACTION), wait)
 
-    def test_lost_servers_are_asked_again_after_their_pause(self):
+    def test_failed_servers_are_retried_after_their_ejection(self):
         for state in self.servers:
             state.failed()
-        for wait in self.drawn():
+        for wait in self.estimates():
             self.assertGreater(wait, 0.9 * BASE_EJECTION_SECONDS)
-            self.assertLessEqual(wait, BASE_EJECTION_SECONDS * (1 + JITTER))
+            self.assertLessEqual(wait, BASE_EJECTION_SECONDS * (1 + JITTER_FRACTION))
 
-    def test_no_server_or_only_such_as_have_ended(self):
+    def test_no_server_or_only_ended_servers(self):
         for state in self.servers:
             state.note_ended()
-        for wait in [*self.drawn(), *self.drawn(servers=[])]:
-            self.assertTrue(NO_SERVER_SECONDS <= wait <= NO_SERVER_SECONDS * (1 + JITTER))
+        for wait in [*self.estimates(), *self.estimates(servers=[])]:
+            self.assertTrue(RESTART_SECONDS <= wait <= RESTART_SECONDS * (1 + JITTER_FRACTION))
 
-    def test_never_too_soon_nor_too_late(self):
+    def test_estimate_is_bounded(self):
         self.servers[0].record_response_time(0.001)
-        self.assertGreaterEqual(min(self.drawn()), SHORTEST_SECONDS)
+        self.assertGreaterEqual(min(self.estimates()), MIN_RETRY_SECONDS)
         for state in self.servers:
             for _ in range(20):
                 state.failed()
-        self.assertLessEqual(max(self.drawn()), LONGEST_SECONDS)
+        self.assertLessEqual(max(self.estimates()), MAX_RETRY_SECONDS)
 
-    def test_callers_come_back_spread_over_some_time(self):
-        self.assertGreater(len({round(wait, 4) for wait in self.drawn()}), DRAWS // 2)
+    def test_retries_are_spread(self):
+        self.assertGreater(len({round(wait, 4) for wait in self.estimates()}), DRAWS // 2)
 
     def test_answer_times_follow_a_server_that_turns_slow(self):
         state = self.servers[0]
@@ -81,10 +81,9 @@
 
 
 class ReturningCallersTest(unittest.TestCase):
-    """Callers with one retry, while all servers of their service start again.
+    """Callers with a single retry while all servers of their service restart.
 
-    Of 20 callers that come while the servers are down, the retry served: 0 when told to come back
-    after 0.1 s, as all were before; 20 when told what the servers' pause says.
+    Guards against a Retry-After that expires before the servers are back.
     """
 
     CALLERS = 20
@@ -99,8 +98,8 @@
             self.directory, StatusProtocol(), "here", meter, open_quarantine()
         )
 
-    def served(self, told):
-        """Return how many callers are served by their one retry."""
+    def served(self, retry_seconds):
+        """Return how many callers succeed with their single retry."""
         counted = []
 
         def call():
@@ -108,7 +107,7 @@
             if error is None:
                 return
             self.assertIs(error.verdict, Verdict.NOT_RUN)
-            gevent.sleep(told if told is not None else error.retry_after_seconds)
+            gevent.sleep(retry_seconds if retry_seconds is not None else error.retry_after_seconds)
             if self.try_once() is None:
                 counted.append(1)
 
@@ -125,10 +124,10 @@
             return error
         return None
 
-    def test_told_what_the_servers_pause_says(self):
+    def test_retry_after_follows_the_ejection_of_the_servers(self):
         self.assertEqual(self.served(None), self.CALLERS)
 
-    def test_told_the_same_whatever_the_load(self):
+    def test_fixed_retry_after_fails_during_a_restart(self):
         self.assertEqual(self.served(0.1), 0)
 
 
