--- a/src/runkeel/gateway/deferrable_calls.py
+++ b/src/runkeel/gateway/deferrable_calls.py
@@ -1,9 +1,7 @@
-"""Bounds the calls of a service that can wait, so that callers who wait for an answer find room.
+"""Limits the concurrency of deferrable calls, to keep slots free for interactive requests.
 
-The load it answers: scorers' calls of whole texts, 50 to 60 a second beside 14 requests of callers
-on servers of six places each; after a change of coordinator all texts that are whole are scored at
-once, a hundred calls within a second. A trainer waits seconds for its step, a caller 0.15 s for an
-answer; without a bound the calls took every place and callers' requests were refused or late.
+Deferrable calls, such as scoring, tolerate seconds of delay and come in bursts, for example after
+a change of coordinator. Without a limit they would occupy all slots of a service.
 """
 
 from __future__ import annotations
@@ -17,80 +15,82 @@
 from runkeel.clock import steady_seconds
 from runkeel.gateway.backends import BackendDirectory
 
-DEFERRABLE_SHARE = 0.5
-"""Share of a service's places that calls which can wait may take from one node.
+MAX_DEFERRABLE_FRACTION = 0.5
+"""Maximum fraction of a service's slots that one node uses for deferrable calls.
 
-They need a fifth of the places where all servers are well, and somewhat less than half while a
-third of them is five times slower. The other half is the callers', in any burst of calls.
+The remaining slots are left to interactive requests, whatever the size of a burst.
 """
 
-SHRINK = 0.7
-"""A server that was full makes the limit so much smaller: other nodes' calls are there, too."""
+DECREASE_FACTOR = 0.7
+"""Factor applied to the limit when a server is full, as other nodes use the servers, too."""
 
-SHRINK_PAUSE_SECONDS = 0.2
-"""The limit shrinks once in so long, about the time of one call: its effect is to be seen first."""
+MIN_DECREASE_INTERVAL_SECONDS = 0.2
+"""Minimum time between two decreases, so that the first one can take effect."""
 
-GROWTH_A_SECOND = 0.25
-"""So large a part of the ceiling the limit grows by each second, back to it within 4 s.
+GROWTH_PER_SECOND = 0.25
+"""Increase of the limit per second, as a fraction of its maximum.
 
-Bursts last about so long; grown faster, it would be at the refusals again before they are over.
+Slow enough that the limit doesn't recover fully within a burst and cause further refusals.
 """
 
-LEAST_CALLS = 1
-"""So many calls may always be under way: the bound slows them down, it never stops them."""
+MIN_CALLS = 1
+"""Lower bound of the limit, so that deferrable calls always make progress."""
 
-RECHECK_SECONDS = 0.1
-"""A call that waits looks at the limit so often, beside each end of another call."""
+RECHECK_INTERVAL_SECONDS = 0.1
+"""Interval at which a waiting call checks the limit, besides whenever another call ends."""
 
 
 class DeferrableLimit:
-    """The calls of one service that can wait, under way and waiting, at one node.
+    """Concurrency limit of the deferrable calls of one service at one node.
 
-    Decides by numbers alone; no I/O.
+    The limit shrinks multiplicatively when a server is full and grows linearly with time.
 
     Args:
-        places: requests that the servers of the service run at once, of those that are in use.
-        now: steady time.
+        places: returns the total number of slots of the service's usable servers.
+        now: steady clock, in seconds.
+
+    Attributes:
+        under_way: deferrable calls in flight.
     """
 
     def __init__(
-        self, places: Callable[[], int], now: Callable[[], float] = steady_seconds
+        self, total_slots: Callable[[], int], now: Callable[[], float] = steady_seconds
     ) -> None:
-        self._places = places
+        self._total_slots = total_slots
         self._now = now
-        self._share = 1.0
-        """The limit, as a part of the ceiling."""
-        self._changed_at = now()
-        self._shrunk_at = -SHRINK_PAUSE_SECONDS
+        self._fraction = 1.0
+        """The limit as a fraction of its maximum."""
+        self._grown_at = now()
+        self._decreased_at = -MIN_DECREASE_INTERVAL_SECONDS
         self.under_way = 0
 
     @property
     def limit(self) -> int:
-        """Calls that may be under way now."""
+        """Maximum number of calls in flight at present."""
         now = self._now()
-        self._share = min(1.0, self._share + GROWTH_A_SECOND * (now - self._changed_at))
-        self._changed_at = now
-        return max(LEAST_CALLS, int(DEFERRABLE_SHARE * self._places() * self._share))
+        self._fraction = min(1.0, self._fraction + GROWTH_PER_SECOND * (now - self._grown_at))
+        self._grown_at = now
+        return max(MIN_CALLS, int(MAX_DEFERRABLE_FRACTION * self._total_slots() * self._fraction))
 
     @property
-    def has_room(self) -> bool:
-        """Whether one more call may begin."""
+    def has_free_slot(self) -> bool:
+        """Whether another call may start."""
         return self.under_way < self.limit
 
     def note_refused(self) -> None:
-        """Take note that a server was full."""
+        """Decrease the limit after a server was full."""
         now = self._now()
-        if now - self._shrunk_at < SHRINK_PAUSE_SECONDS:
+        if now - self._decreased_at < MIN_DECREASE_INTERVAL_SECONDS:
             return
-        # What has grown since the last look counts first.
+        # Reading the limit applies the growth since the last read.
         limit = self.limit
-        if limit > LEAST_CALLS:
-            self._share *= SHRINK
-        self._shrunk_at = now
+        if limit > MIN_CALLS:
+            self._fraction *= DECREASE_FACTOR
+        self._decreased_at = now
 
 
 class DeferrableCalls:
-    """Lets calls that can wait begin in the order in which they came, a bounded number at once."""
+    """Starts deferrable calls in order of arrival, within the limit of their service."""
 
     def __init__(self, directory: BackendDirectory) -> None:
         self._directory = directory
@@ -98,26 +98,30 @@
         self._waiting: dict[str, deque[Event]] = {}
 
     def limit_of(self, service: str) -> DeferrableLimit:
-        """Return the limit of a service."""
+        """Return the limit of a service, creating it on first use."""
         limit = self._limits.get(service)
         if limit is None:
-            limit = self._limits[service] = DeferrableLimit(lambda: self._places(service))
+            limit = self._limits[service] = DeferrableLimit(lambda: self._total_slots(service))
             self._waiting[service] = deque()
         return limit
 
     def services(self) -> list[str]:
-        """Return the services that have had such calls."""
+        """Return the services that have had deferrable calls."""
         return list(self._limits)
 
     def waiting(self, service: str) -> int:
-        """Return how many calls of a service wait."""
+        """Return the number of calls of a service that are waiting."""
         return len(self._waiting.get(service, ()))
 
     @contextmanager
     def place(self, service: str, deadline: float) -> Iterator[bool]:
-        """Hold a place for one call; False where none came free until the deadline."""
+        """Hold a slot for one call; yields False if none became free before the deadline.
+
+        Args:
+            deadline: steady clock time, in seconds.
+        """
         limit = self.limit_of(service)
-        if not self._await_turn(service, limit, deadline):
+        if not self._wait_for_slot(service, limit, deadline):
             yield False
             return
         limit.under_way += 1
@@ -125,32 +129,32 @@
             yield True
         finally:
             limit.under_way -= 1
-            self._call_next(service, limit)
+            self._wake_next(service, limit)
 
-    def _await_turn(self, service: str, limit: DeferrableLimit, deadline: float) -> bool:
+    def _wait_for_slot(self, service: str, limit: DeferrableLimit, deadline: float) -> bool:
         waiting = self._waiting[service]
-        if not waiting and limit.has_room:
+        if not waiting and limit.has_free_slot:
             return True
         turn = Event()
         waiting.append(turn)
         try:
             while steady_seconds() < deadline:
-                if waiting[0] is turn and limit.has_room:
+                if waiting[0] is turn and limit.has_free_slot:
                     return True
-                # The limit grows by itself, so that a turn may come without a call's end.
-                turn.wait(min(RECHECK_SECONDS, max(0.0, deadline - steady_seconds())))
+                # The limit grows with time, so a slot may become free without a call ending.
+                turn.wait(min(RECHECK_INTERVAL_SECONDS, max(0.0, deadline - steady_seconds())))
                 turn.clear()
             return False
         finally:
             waiting.remove(turn)
-            self._call_next(service, limit)
+            self._wake_next(service, limit)
 
-    def _call_next(self, service: str, limit: DeferrableLimit) -> None:
+    def _wake_next(self, service: str, limit: DeferrableLimit) -> None:
         waiting = self._waiting[service]
-        if waiting and limit.has_room:
+        if waiting and limit.has_free_slot:
             waiting[0].set()
 
-    def _places(self, service: str) -> int:
+    def _total_slots(self, service: str) -> int:
         now = steady_seconds()
         servers = self._directory.of_service(service)
         return sum(max(1, one.backend.slots) for one in servers if not one.avoided(now))
--- a/tests/gateway/test_deferrable_calls.py
+++ b/tests/gateway/test_deferrable_calls.py
@@ -1,4 +1,4 @@
-"""Calls that can wait leave room to callers who wait for an answer."""
+"""Deferrable calls leave slots free for interactive requests."""
 
 import unittest
 
@@ -9,10 +9,10 @@
 from runkeel.clock import steady_seconds
 from runkeel.gateway.backends import BackendDirectory, choose_backend
 from runkeel.gateway.deferrable_calls import (
-    GROWTH_A_SECOND,
-    LEAST_CALLS,
-    SHRINK,
-    SHRINK_PAUSE_SECONDS,
+    DECREASE_FACTOR,
+    GROWTH_PER_SECOND,
+    MIN_CALLS,
+    MIN_DECREASE_INTERVAL_SECONDS,
     DeferrableCalls,
     DeferrableLimit,
 )
@@ -33,41 +33,41 @@
 class DeferrableLimitTest(unittest.TestCase):
     def setUp(self):
         self.now = 100.0
-        self.places = 24
-        self.limit = DeferrableLimit(lambda: self.places, lambda: self.now)
+        self.total_slots = 24
+        self.limit = DeferrableLimit(lambda: self.total_slots, lambda: self.now)
 
-    def test_half_of_the_places(self):
+    def test_limit_is_half_of_the_slots(self):
         self.assertEqual(self.limit.limit, 12)
 
-    def test_limit_follows_the_servers_that_are_in_use(self):
-        self.places = 6
+    def test_limit_follows_the_usable_servers(self):
+        self.total_slots = 6
         self.assertEqual(self.limit.limit, 3)
-        self.places = 0
-        self.assertEqual(self.limit.limit, LEAST_CALLS)
+        self.total_slots = 0
+        self.assertEqual(self.limit.limit, MIN_CALLS)
 
-    def test_full_servers_make_it_smaller_once_in_a_while(self):
+    def test_full_servers_decrease_the_limit_at_bounded_intervals(self):
         for _ in range(10):
             self.limit.note_refused()
-        self.assertEqual(self.limit.limit, int(12 * SHRINK))
-        self.now += SHRINK_PAUSE_SECONDS
+        self.assertEqual(self.limit.limit, int(12 * DECREASE_FACTOR))
+        self.now += MIN_DECREASE_INTERVAL_SECONDS
         self.limit.note_refused()
-        self.assertLess(self.limit.limit, int(12 * SHRINK))
+        self.assertLess(self.limit.limit, int(12 * DECREASE_FACTOR))
 
-    def test_it_grows_again(self):
+    def test_limit_grows_again(self):
         for _ in range(30):
             self.limit.note_refused()
-            self.now += SHRINK_PAUSE_SECONDS
+            self.now += MIN_DECREASE_INTERVAL_SECONDS
         small = self.limit.limit
-        self.now += 0.5 / GROWTH_A_SECOND
+        self.now += 0.5 / GROWTH_PER_SECOND
         self.assertGreater(self.limit.limit, small)
-        self.now += 1.0 / GROWTH_A_SECOND
+        self.now += 1.0 / GROWTH_PER_SECOND
         self.assertEqual(self.limit.limit, 12)
 
-    def test_some_calls_are_always_let_through(self):
+    def test_limit_never_falls_below_the_minimum(self):
         for _ in range(200):
             self.limit.note_refused()
-            self.now += SHRINK_PAUSE_SECONDS
-        self.assertGreaterEqual(self.limit.limit, LEAST_CALLS)
+            self.now += MIN_DECREASE_INTERVAL_SECONDS
+        self.assertGreaterEqual(self.limit.limit, MIN_CALLS)
 
 
 class DeferrableCallsTest(unittest.TestCase):
@@ -82,13 +82,13 @@
             self.most = max(getattr(self, "most", 0), self.calls.limit_of(SERVICE).under_way)
             gevent.sleep(seconds)
 
-    def test_all_calls_are_made_in_the_order_in_which_they_came(self):
+    def test_calls_start_in_order_of_arrival(self):
         gevent.joinall([gevent.spawn(self.call, number) for number in range(60)])
         self.assertEqual(self.begun, [(number, True) for number in range(60)])
         self.assertEqual(self.most, SERVERS * SLOTS // 2)
         self.assertEqual(self.calls.waiting(SERVICE), 0)
 
-    def test_call_whose_time_is_over_leaves_the_others_their_turn(self):
+    def test_call_past_its_deadline_does_not_block_others(self):
         blockers = [gevent.spawn(self.call, n, 0.5) for n in range(SERVERS * SLOTS // 2)]
         gevent.sleep(0)
         with self.calls.place(SERVICE, steady_seconds() + 0.05) as granted:
@@ -97,7 +97,7 @@
         gevent.joinall([*blockers, after])
         self.assertEqual(self.begun[-1], ("after", True))
 
-    def test_call_that_is_ended_while_it_waits_leaves_the_others_their_turn(self):
+    def test_call_killed_while_waiting_does_not_block_others(self):
         blockers = [gevent.spawn(self.call, n, 0.2) for n in range(SERVERS * SLOTS // 2)]
         gevent.sleep(0)
         ended, after = gevent.spawn(self.call, "ended"), gevent.spawn(self.call, "after")
@@ -116,17 +116,16 @@
 
 
 class BurstTest(unittest.TestCase):
-    """A hundred calls of scorers at once, as after a change of coordinator, beside callers.
+    """A burst of scoring calls beside interactive requests.
 
-    Callers that found no free place at their server, of 40 that came during the burst: 40 without
-    the bound, 0 with it.
+    Guards against a burst that occupies every slot, as after a change of coordinator.
     """
 
     CALLS = 100
     CALLERS = 40
 
     def play(self, bounded):
-        """Return how many callers found every place of their server taken."""
+        """Return how many interactive requests found all slots of their server taken."""
         scorers = directory_of()
         calls = DeferrableCalls(scorers) if bounded else None
         running = dict.fromkeys((one.backend_id for one in scorers.all()), 0)
@@ -148,19 +147,19 @@
         tasks = [gevent.spawn(score) for _ in range(self.CALLS)]
         gevent.sleep(0)
         callers = directory_of()
-        blocked = 0
+        rejected = 0
         for _ in range(self.CALLERS):
-            # Another node: it sees its own requests only.
+            # At another node, which only counts its own requests.
             state = choose_backend(callers.candidates(SERVICE), set(), "here")
-            blocked += running[state.backend_id] >= SLOTS
+            rejected += running[state.backend_id] >= SLOTS
             gevent.sleep(0.004)
         gevent.joinall(tasks)
-        return blocked
+        return rejected
 
-    def test_callers_find_room_beside_a_burst_of_scorers_calls(self):
+    def test_interactive_requests_find_slots_during_a_burst(self):
         self.assertEqual(self.play(bounded=True), 0)
 
-    def test_without_the_bound_they_find_none(self):
+    def test_without_the_limit_they_find_none(self):
         self.assertGreater(self.play(bounded=False), self.CALLERS // 2)
 
 
