--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -202,7 +202,7 @@
         if state is not None and _is_replacement(state.backend, backend):
             self._retire(state, backend)
             state = None
-        self._change_log.put(None if state is None else state.backend, backend)
+        self._change_log.record_update(None if state is None else state.backend, backend)
         if state is None:
             state = self._states[backend.backend_id] = BackendState(backend)
         else:
@@ -243,7 +243,7 @@
             return
         self._leave(state)
         state.pool.close()
-        self._change_log.gone(state.backend)
+        self._change_log.record_departure(state.backend)
         for listener in self._end_listeners:
             listener(state)
         self._notify(state.backend.service)
--- a/src/runkeel/gateway/directory_news.py
+++ b/src/runkeel/gateway/directory_news.py
@@ -1,4 +1,4 @@
-"""Tells the log which servers came, left or changed: one line for all that happened at once."""
+"""Logs which servers joined, left or changed, batching the changes into one line."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from runkeel.api.fleet import Backend
 
-GATHER_SECONDS = 0.5
-"""News are gathered for so long. A node that starts hears of all servers within it."""
+BATCH_SECONDS = 0.5
+"""Time for which changes are batched; covers the initial updates of all servers at startup."""
 
-NAMES = 20
-"""So many servers are named of each kind of news; the others are counted."""
+MAX_LISTED = 20
+"""Maximum number of servers listed per kind of change; further ones are only counted."""
 
 
 class BackendChangeLog:
-    """What has changed since the last line."""
+    """Changes of the backend directory since the last log line."""
 
     def __init__(self) -> None:
         self._joined: dict[str, Backend] = {}
@@ -26,8 +26,8 @@
         self._changed: set[str] = set()
         self._pending = False
 
-    def put(self, before: Backend | None, backend: Backend) -> None:
-        """Take note of a server's new state; ``before`` is None for one that was not known."""
+    def record_update(self, before: Backend | None, backend: Backend) -> None:
+        """Record an update of a server; ``before`` is None if the server is new."""
         name = backend.incarnation
         if before is None:
             self._joined[name] = backend
@@ -35,37 +35,37 @@
             self._draining[name] = backend
         else:
             self._changed.add(name)
-        self._tell_soon()
+        self._schedule_flush()
 
-    def gone(self, backend: Backend) -> None:
-        """Take note of a server that has left."""
+    def record_departure(self, backend: Backend) -> None:
+        """Record that a server has left."""
         self._gone[backend.incarnation] = backend
-        self._tell_soon()
+        self._schedule_flush()
 
-    def _tell_soon(self) -> None:
+    def _schedule_flush(self) -> None:
         if not self._pending:
             self._pending = True
-            gevent.spawn_later(GATHER_SECONDS, self.tell)
+            gevent.spawn_later(BATCH_SECONDS, self.flush)
 
-    def tell(self) -> None:
-        """Write the line."""
+    def flush(self) -> None:
+        """Log the batched changes and clear them."""
         self._pending = False
         logger.info(
             "servers changed",
             code="backends",
-            joined=_named(self._joined.values()),
-            draining=_named(self._draining.values()),
-            gone=_named(self._gone.values()),
+            joined=_described(self._joined.values()),
+            draining=_described(self._draining.values()),
+            gone=_described(self._gone.values()),
             joined_count=len(self._joined),
             draining_count=len(self._draining),
             gone_count=len(self._gone),
             changed_count=len(self._changed),
         )
-        for news in (self._joined, self._draining, self._gone, self._changed):
-            news.clear()
+        for changes in (self._joined, self._draining, self._gone, self._changed):
+            changes.clear()
 
 
-def _named(backends: Iterable[Backend]) -> list[str]:
-    """Return id, service and address of servers, as many as are named."""
+def _described(backends: Iterable[Backend]) -> list[str]:
+    """Return incarnation, service and address of up to MAX_LISTED servers."""
     names = [f"{one.incarnation} {one.service} {one.address}" for one in backends]
-    return names[:NAMES]
+    return names[:MAX_LISTED]
--- a/tests/gateway/test_directory_news.py
+++ b/tests/gateway/test_directory_news.py
@@ -1,4 +1,4 @@
-"""One log line for all news of servers that come at once."""
+"""Changes of servers are batched into one log line."""
 
 import unittest
 from unittest import mock
@@ -14,18 +14,18 @@
 SERVICE = "news"
 
 
-class DirectoryNewsTest(unittest.TestCase):
+class BackendChangeLogTest(unittest.TestCase):
     def setUp(self):
         self.lines = []
         sink = logger.add(lambda message: self.lines.append(message.record["extra"]))
         self.addCleanup(logger.remove, sink)
-        soon = mock.patch.object(directory_news, "GATHER_SECONDS", 0.02)
-        soon.start()
-        self.addCleanup(soon.stop)
+        short_batch = mock.patch.object(directory_news, "BATCH_SECONDS", 0.02)
+        short_batch.start()
+        self.addCleanup(short_batch.stop)
         self.directory = BackendDirectory()
 
-    def _told(self):
-        """Return the lines on this test's servers; other tests' may be told meanwhile."""
+    def _logged(self):
+        """Return the lines about this test's servers; other tests may log some as well."""
         gevent.sleep(0.1)
         lines, self.lines = self.lines, []
         return [line for line in lines if f" {SERVICE} " in str(line)]
@@ -34,29 +34,31 @@
         self.directory.put(make_backend(name, service=SERVICE, **more))
 
     def test_many_servers_at_once_are_one_line(self):
-        """Large site: 15,300 of 32,700 lines of a day, one a node and server and change."""
+        """Guards against a log line for every single change of a server."""
         for number in range(MANY):
             self._put(f"s{number}")
-        (line,) = self._told()
-        self.assertEqual((line["joined_count"], len(line["joined"])), (MANY, directory_news.NAMES))
+        (line,) = self._logged()
+        self.assertEqual(
+            (line["joined_count"], len(line["joined"])), (MANY, directory_news.MAX_LISTED)
+        )
 
-    def test_what_matters_to_a_decision_is_named(self):
+    def test_joined_draining_and_gone_servers_are_listed(self):
         for name in ("a", "b", "c"):
             self._put(name)
-        self._told()
+        self._logged()
         self._put("a", draining=True)
         self._put("c")
         self.directory.remove("b")
-        (line,) = self._told()
+        (line,) = self._logged()
         self.assertIn("a news", line["draining"][0])
         self.assertIn("b news", line["gone"][0])
         self.assertEqual((line["joined"], line["changed_count"]), ([], 1))
 
-    def test_each_line_tells_what_is_new(self):
+    def test_each_line_contains_only_new_changes(self):
         self._put("a")
-        self._told()
+        self._logged()
         self.directory.remove("a")
-        (line,) = self._told()
+        (line,) = self._logged()
         self.assertEqual((line["joined_count"], line["gone_count"]), (0, 1))
 
 
