--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -14,7 +14,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.gateway.directory_news import BackendChangeLog
 from runkeel.gateway.indexed_set import IndexedSet
-from runkeel.gateway.server_starts import ServerStarts, is_told
+from runkeel.gateway.server_starts import ServerStarts, is_reported
 
 CANDIDATES = 16
 """Maximum number of servers considered per request, to bound the cost of the selection.
@@ -65,7 +65,7 @@
 
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
-        self.pool = HttpConnectionPool(backend.address, ends_with_connection=True)
+        self.pool = HttpConnectionPool(backend.address, allow_close_delimited=True)
         self.in_flight = 0
         self.failures = 0
         self.avoid_until = 0.0
@@ -262,7 +262,7 @@
         state = self._states.get(incarnation) or self._states.get(backend_id)
         if state is None or state.incarnation == incarnation:
             return state
-        return None if is_told(start) or is_told(state.backend.start) else state
+        return None if is_reported(start) or is_reported(state.backend.start) else state
 
     def of_service(self, service: str) -> list[BackendState]:
         """Return the servers of a service that take new work."""
--- a/src/runkeel/gateway/server_starts.py
+++ b/src/runkeel/gateway/server_starts.py
@@ -1,9 +1,8 @@
-"""Decides which start of a server news tells of: the known one, a new one, or one before.
+"""Determines whether an update of a server is of its current, a new or a previous incarnation.
 
-A server may start again under the id that it had, and then holds and knows nothing of before. It
-tells the time of its start where it tells it at all; that time is compared for being another one,
-never for being later, since a machine's clock may jump back. News is ordered by the revisions of
-the server's entry, which a copy never takes backwards.
+A server may restart under the same id, and then has lost all its state. Servers may report the time
+of their start. Start times are only compared for equality, as a machine's clock may jump back.
+Updates are ordered by the revision of the server's entry, which never decreases.
 """
 
 from __future__ import annotations
@@ -14,97 +13,97 @@
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
 
-EARLIER_STARTS = 8
-"""Starts of one id that are known to be over. News of them is a few seconds late at the most: an
-entry that was on its way when its server ended, a report that was under way."""
+MAX_PREVIOUS_STARTS = 8
+"""Maximum number of previous starts remembered per server id, to ignore their late updates."""
 
-COUNTED = "r"
-"""Begins the name of a start that was found by its count of orders, before the entry's revision."""
+INFERRED_PREFIX = "r"
+"""Prefix of a start that was inferred rather than reported; the entry's revision follows."""
 
 
 @dataclass(slots=True)
-class _Known:
-    """The start that is taken for the present one, and those before it."""
+class _ServerRecord:
+    """The current start of a server id, and its previous ones."""
 
     start: str
     address: Address
     orders_taken: int | None
-    earlier: deque[str] = field(default_factory=lambda: deque(maxlen=EARLIER_STARTS))
+    previous: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_PREVIOUS_STARTS))
 
     @property
-    def told(self) -> bool:
-        """Whether the server itself said when it began."""
-        return is_told(self.start)
+    def reported(self) -> bool:
+        """Whether the server itself reported the current start."""
+        return is_reported(self.start)
 
     def begin(self, start: str) -> None:
-        """Take a new start."""
-        self.earlier.append(self.start)
+        """Replace the current start by a new one."""
+        self.previous.append(self.start)
         self.start = start
         self.orders_taken = None
 
 
 class ServerStarts:
-    """What is known of the starts of each id."""
+    """Current and previous starts of each server id."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _ServerRecord] = {}
 
     def settle(self, backend: Backend, revision: int) -> Backend | None:
-        """Return an entry with the name of the start that it tells of; None: of one before.
+        """Return the entry with its start filled in; None if it is of a previous incarnation.
 
         Args:
-            revision: of the entry, larger than those of all entries of the id before.
+            backend: the server as its entry describes it.
+            revision: revision of the entry, higher than that of any earlier entry of the id.
         """
         known = self._known.get(backend.backend_id)
         if known is None:
-            self._known[backend.backend_id] = _Known(
+            self._known[backend.backend_id] = _ServerRecord(
                 backend.start, backend.address, backend.orders_taken
             )
             return backend
         if backend.start:
-            if backend.start in known.earlier:
+            if backend.start in known.previous:
                 return None
             if backend.start != known.start:
                 known.begin(backend.start)
-        elif _shows_new_start(known, backend):
-            known.begin(f"{COUNTED}{revision}")
+        elif _implies_new_start(known, backend):
+            known.begin(f"{INFERRED_PREFIX}{revision}")
         known.address = backend.address
         if backend.orders_taken is not None:
             known.orders_taken = backend.orders_taken
         return replace(backend, start=known.start)
 
     def note_reported(self, backend: Backend, start: str) -> Backend | None:
-        """Return the new start that a server's own answer shows; None: it shows none.
+        """Return the new incarnation that a server's response reveals, None if it reveals none.
 
-        An answer of a server whose entry says nothing of starts can't be compared with it.
+        Responses are ignored if the server's entry doesn't report starts to compare with.
 
         Args:
-            backend: as it was known when the server was asked.
-            start: as the answer tells it, empty if it doesn't.
+            backend: the server as known when the request was sent.
+            start: the start reported in the response, empty if it has none.
         """
         known = self._known.get(backend.backend_id)
-        if not start or known is None or not known.told:
+        if not start or known is None or not known.reported:
             return None
-        if start == known.start or start in known.earlier:
+        if start == known.start or start in known.previous:
             return None
         known.begin(start)
         return replace(backend, start=start, model_versions={}, orders_taken=None)
 
     def forget(self, backend_id: str) -> None:
-        """Forget an id whose entry has gone."""
+        """Remove a server id whose entry was deleted."""
         self._known.pop(backend_id, None)
 
 
-def _shows_new_start(known: _Known, backend: Backend) -> bool:
-    """Return whether an entry shows a new start though it doesn't tell one.
+def _implies_new_start(known: _ServerRecord, backend: Backend) -> bool:
+    """Return whether an entry without a start implies a new incarnation.
 
-    A count of orders only grows, and a server keeps its address, as long as it runs.
+    While a server runs, its count of orders never decreases and its address never changes.
     """
     before, now = known.orders_taken, backend.orders_taken
-    counts_anew = before is not None and now is not None and now < before
-    return counts_anew or backend.address != known.address
+    orders_decreased = before is not None and now is not None and now < before
+    return orders_decreased or backend.address != known.address
 
 
-def is_told(start: str) -> bool:
-    """Return whether a server itself told a start, so that all nodes name it alike."""
-    return bool(start) and not start.startswith(COUNTED)
+def is_reported(start: str) -> bool:
+    """Return whether the server itself reported a start, so that it is the same on all nodes."""
+    return bool(start) and not start.startswith(INFERRED_PREFIX)
--- a/tests/gateway/starts_machine.py
+++ b/tests/gateway/starts_machine.py
@@ -1,4 +1,4 @@
-"""Any order of entries, answers and losses of one server, against an oracle of its starts."""
+"""Random sequences of entries, responses and failures of one server, checked against a model."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StartsMachine(RuleBasedStateMachine):
-    """A server's starts have the times of a set in any order; none comes back once it is over."""
+    """Start times come in any order; one that is over is never accepted again."""
 
     def __init__(self):
         super().__init__()
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -1,4 +1,4 @@
-"""A server that starts again under its id: nothing of a start is taken for the next one."""
+"""Servers that restart under the same id: no state of an incarnation is applied to the next."""
 
 import unittest
 from unittest import mock
@@ -13,7 +13,7 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway import backends
 from runkeel.gateway.backends import MAX_UNREADABLE_ENTRIES, BackendDirectory
-from runkeel.gateway.server_starts import EARLIER_STARTS
+from runkeel.gateway.server_starts import MAX_PREVIOUS_STARTS
 
 SERVICE = "ledger"
 ADDRESS = Address("127.0.0.1", 1)
@@ -27,8 +27,8 @@
 class ServerStartsTest(unittest.TestCase):
     def setUp(self):
         self.directory = BackendDirectory()
-        self.over = []
-        self.directory.on_end(self.over.append)
+        self.ended_states = []
+        self.directory.on_end(self.ended_states.append)
         self.revision = 0
 
     def put(self, backend):
@@ -38,8 +38,8 @@
     def state(self):
         return self.directory.get(NAME)
 
-    def test_ended_server_that_comes_back_under_its_id_is_used_at_once(self):
-        """Before, it stayed avoided for good: only an answer cleared it, and none was asked."""
+    def test_restarted_server_is_used_at_once(self):
+        """Guards against a restarted server that is avoided forever."""
         self.put(started("1000"))
         before = self.state()
         before.note_ended()
@@ -49,30 +49,30 @@
         self.assertFalse(self.state().avoided(steady_seconds()))
         self.assertEqual((self.state().failures, self.state().in_flight), (0, 0))
         self.assertEqual(self.directory.of_service(SERVICE), [self.state()])
-        self.assertEqual(self.over, [before])
+        self.assertEqual(self.ended_states, [before])
         self.assertTrue(before.ended)
 
     def test_start_at_an_earlier_time_is_a_new_one(self):
-        """The clock of the server's machine may have jumped back; the entry's revision decides."""
+        """The clock of the server's machine may jump back; the entry's revision decides."""
         self.put(started("2000"))
         self.put(started("1000"))
         self.assertEqual(self.state().backend.start, "1000")
 
-    def test_late_news_of_an_earlier_start_is_passed_over(self):
+    def test_late_update_of_a_previous_start_is_ignored(self):
         self.put(started("1000"))
         self.put(started("2000"))
         self.assertFalse(self.put(started("1000", draining=True)))
         self.assertEqual(self.state().backend.start, "2000")
         self.assertTrue(self.state().backend.takes_work)
-        self.assertEqual(len(self.over), 1)
+        self.assertEqual(len(self.ended_states), 1)
 
-    def test_earlier_starts_are_remembered_in_a_bounded_number(self):
-        for number in range(3 * EARLIER_STARTS):
+    def test_number_of_previous_starts_is_bounded(self):
+        for number in range(3 * MAX_PREVIOUS_STARTS):
             self.put(started(str(1000 + number)))
         known = self.directory._starts._known[NAME]
-        self.assertEqual(len(known.earlier), EARLIER_STARTS)
+        self.assertEqual(len(known.previous), MAX_PREVIOUS_STARTS)
 
-    def test_news_of_the_same_start_keeps_what_is_known(self):
+    def test_update_of_the_same_start_keeps_the_state(self):
         self.put(started("1000", orders=1))
         before = self.state()
         before.failed()
@@ -87,7 +87,7 @@
         self.assertIs(self.state(), before)
         self.assertEqual(before.incarnation, NAME)
 
-    def test_count_of_orders_that_goes_back_is_a_new_start(self):
+    def test_decreasing_count_of_orders_is_a_new_start(self):
         self.put(started(orders=7))
         before = self.state()
         self.put(started(orders=7))
@@ -97,17 +97,17 @@
         self.assertNotEqual(self.state().incarnation, before.incarnation)
 
     def test_other_address_is_a_new_start(self):
-        """Its connections go to the address before, where nobody or somebody else listens."""
+        """Guards against connections to the old address, where another server may listen."""
         self.put(started())
         before = self.state()
         self.put(started(address=Address("127.0.0.1", 2)))
         self.assertIsNot(self.state(), before)
         self.assertEqual(self.state().backend.address.port, 2)
 
-    def test_server_that_begins_to_tell_its_start_has_started_anew(self):
+    def test_first_reported_start_is_a_new_start(self):
         self.put(started())
         self.put(started("1000"))
-        self.assertEqual(len(self.over), 1)
+        self.assertEqual(len(self.ended_states), 1)
 
     def test_answer_shows_a_new_start_before_the_entry_does(self):
         self.put(started("1000", orders=4, model_versions={"m": 3}))
@@ -130,7 +130,7 @@
         self.directory.note_reported(present, "1000")
         self.assertIs(self.state(), present)
 
-    def test_answer_tells_nothing_where_the_entry_says_nothing(self):
+    def test_response_is_ignored_if_the_entry_reports_no_start(self):
         self.put(started())
         before = self.state()
         self.directory.note_reported(before, "1000")
@@ -148,14 +148,14 @@
         for other in (f"{NAME}@2000", NAME, "nobody"):
             self.assertIsNone(self.directory.find(other), other)
 
-    def test_start_that_only_counts_showed_may_be_named_otherwise_elsewhere(self):
+    def test_inferred_start_may_have_another_name_at_another_node(self):
         self.put(started(orders=2))
         self.assertIs(self.directory.find(f"{NAME}@r17"), self.state())
         self.put(started(orders=1))
         self.assertIs(self.directory.find(NAME), self.state())
 
     def test_server_that_ended_is_tried_again_after_a_while(self):
-        """One that came back without saying so got no work for good."""
+        """Guards against a server that restarts without reporting it and never gets work."""
         self.put(started())
         self.state().note_ended()
         self.assertTrue(self.state().avoided(steady_seconds()))
@@ -164,7 +164,7 @@
 
 
 class WaitingRequestsTest(unittest.TestCase):
-    """A machine that lost power says nothing: who waits for it is told by its next start."""
+    """Requests to a machine that lost power fail once its next incarnation is known."""
 
     def setUp(self):
         self.accepted = []
@@ -182,22 +182,22 @@
     def test_requests_at_the_earlier_start_end_at_once(self):
         state = self.directory.get(NAME)
 
-        def ask():
+        def send_request():
             try:
                 state.pool.request(OutgoingRequest("GET", "/"), steady_seconds() + 20.0)
             except RunkeelError as error:
                 return error
             return None
 
-        asking = [gevent.spawn(ask) for _ in range(3)]
+        requests = [gevent.spawn(send_request) for _ in range(3)]
         with gevent.Timeout(10.0):
             while len(self.accepted) < 3:
                 gevent.sleep(0.01)
             self.directory.put(started("2000", address=self.address), 2)
-            gevent.joinall(asking)
-        self.assertEqual([task.value.verdict for task in asking], [Verdict.MAY_HAVE_RUN] * 3)
+            gevent.joinall(requests)
+        self.assertEqual([task.value.verdict for task in requests], [Verdict.MAY_HAVE_RUN] * 3)
 
-    def test_nothing_more_is_sent_by_who_still_holds_the_earlier_start(self):
+    def test_no_request_is_sent_through_a_replaced_state(self):
         state = self.directory.get(NAME)
         self.directory.put(started("2000", address=self.address), 2)
         with self.assertRaises(RunkeelError) as caught:
@@ -225,7 +225,7 @@
         self.directory.remove("other")
         self.assertFalse(self.directory.unreadable)
 
-    def test_entries_without_end_are_remembered_in_a_bounded_number(self):
+    def test_number_of_unreadable_entries_is_bounded(self):
         for number in range(MAX_UNREADABLE_ENTRIES + 10):
             self.directory.note_unreadable(f"other-{number}", "State: missing")
         self.assertEqual(len(self.directory.unreadable), MAX_UNREADABLE_ENTRIES)
--- a/tests/gateway/test_starts_fuzz.py
+++ b/tests/gateway/test_starts_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzz of a server's starts; a directory that keeps what an earlier start left is found."""
+"""Fuzz test of server restarts; the test detects a directory that keeps outdated state."""
 
 import unittest
 from unittest import mock
@@ -19,16 +19,16 @@
     def test_only_the_present_start_counts(self):
         run_state_machine_as_test(StartsMachine, settings=OPTIONS)
 
-    def test_holder_that_keeps_the_earlier_start_is_found(self):
+    def test_keeping_the_state_of_a_previous_start_is_detected(self):
         with mock.patch.object(backends, "_is_replacement", lambda known, backend: False):
             self.assertIsNotNone(find_violation(StartsMachine, FEW))
 
-    def test_news_of_an_earlier_start_that_is_taken_is_found(self):
+    def test_accepting_an_update_of_a_previous_start_is_detected(self):
         settle = ServerStarts.settle
 
         def forgetful(starts, backend, revision):
             for known in starts._known.values():
-                known.earlier.clear()
+                known.previous.clear()
             return settle(starts, backend, revision)
 
         with mock.patch.object(ServerStarts, "settle", forgetful):
