--- a/src/runkeel/backends/http_connection.py
+++ b/src/runkeel/backends/http_connection.py
@@ -1,7 +1,7 @@
-"""Keep-alive HTTP/1.1 connections to one back end, with a verdict for every failure.
+"""Pool of keep-alive HTTP/1.1 connections to one backend, with a verdict for every failure.
 
-The parser is geventhttpclient's (llhttp). Its own pool is not used because it can't tell whether a
-byte of the request was written, which decides between ``NOT_RUN`` and ``MAY_HAVE_RUN``.
+The parser is geventhttpclient's (llhttp). Its connection pool is not used, as it doesn't report
+whether any byte of the request was written, which decides between ``NOT_RUN`` and ``MAY_HAVE_RUN``.
 """
 
 from __future__ import annotations
@@ -21,120 +21,117 @@
 from runkeel.errors import ErrorCode, RunkeelError, may_have_run, not_run
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Longest wait for a connection to a back end. Chosen, not measured."""
+"""Maximum time to wait for a connection to a backend."""
 
 RECEIVE_BYTES = 65_536
-"""Most that is read from a socket at a time: the size of a common receive buffer."""
+"""Maximum number of bytes per read from a socket."""
 
-MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
-"""A longer answer is refused, so that a back end cannot fill the memory. Chosen, not measured."""
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+"""Default maximum size of a response body, to bound the memory that a backend can use."""
 
-MAXIMUM_IDLE_CONNECTIONS = 32
-"""Most unused connections kept to one back end. Chosen, not measured."""
+MAX_IDLE_CONNECTIONS = 32
+"""Maximum number of idle connections kept per backend."""
 
-MAXIMUM_IDLE_SECONDS = 20.0
-"""Longest time that an unused connection is kept if the back end names none.
-
-Chosen, not measured.
-"""
+MAX_IDLE_SECONDS = 20.0
+"""Maximum time that an idle connection is kept, also if the backend allows a longer one."""
 
 KEEP_ALIVE_MARGIN_SECONDS = 0.7
-"""An idle connection is given up so long before the server would close it."""
+"""An idle connection is discarded this long before the server would close it."""
 KEEP_ALIVE_PROBE_SECONDS = 1
 KEEP_ALIVE_PROBES = 2
-UNACKNOWLEDGED_MILLISECONDS = 3_000
-"""A peer that acknowledges nothing for so long is taken as gone."""
+TCP_USER_TIMEOUT_MILLISECONDS = 3_000
+"""Time without acknowledgement of sent data after which the connection is considered lost."""
 
-PROBED_IDLE_SECONDS = 2.0
-"""A connection that was made to see whether a server is there is kept for use for so long."""
+PROBE_IDLE_SECONDS = 2.0
+"""Time for which a connection opened by a probe is kept for reuse."""
 
 _FIRST_FINAL_STATUS = 200
-_LINGER_NOT = struct.pack("ii", 1, 0)
-"""Value of SO_LINGER by which closing resets the connection."""
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""Value of SO_LINGER that makes close() reset the connection."""
 
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)")
 
 
 class Reachability(enum.StrEnum):
-    """What an attempt to connect to a back end showed."""
+    """Result of an attempt to connect to a backend."""
 
     OPEN = "open"
-    """Somebody listens at the address."""
+    """The backend accepted the connection."""
     REFUSED = "refused"
-    """Nobody does, so that the back end has ended."""
+    """Nothing listens at the address, so the backend has ended."""
     UNKNOWN = "unknown"
-    """Neither was heard in time."""
+    """The attempt timed out or failed otherwise."""
 
 
-class _Answer(HTTPResponse):
-    """Parser of exactly one answer; bytes beyond its end are an error."""
+class _ResponseParser(HTTPResponse):
+    """Parser of exactly one response; bytes beyond its end are an error."""
 
     def _on_message_begin(self) -> None:
         if self.message_complete and self.get_code() >= _FIRST_FINAL_STATUS:
-            raise HTTPProtocolViolationError("bytes after the end of the answer")
+            raise HTTPProtocolViolationError("bytes after the end of the response")
         super()._on_message_begin()
 
     @property
     def finished(self) -> bool:
-        """Whether the final answer is complete; interim (1xx) answers don't count."""
+        """Whether the final response is complete; interim (1xx) responses don't count."""
         return self.message_complete and self.get_code() >= _FIRST_FINAL_STATUS
 
     @property
     def final_headers_complete(self) -> bool:
-        """Whether the headers of the final answer have come."""
+        """Whether the headers of the final response are complete."""
         return self.headers_complete and self.get_code() >= _FIRST_FINAL_STATUS
 
     def take_body(self) -> bytes:
-        """Return the body bytes parsed so far and forget them."""
+        """Return the body bytes parsed so far and remove them from the buffer."""
         body = bytes(self._body_buffer)
         self._body_buffer.clear()
         return body
 
-    def end_of_input(self) -> bool:
-        """Take the connection's end; True when that ends the answer (it had no length)."""
+    def handle_eof(self) -> bool:
+        """Handle the end of the connection; returns True if it delimits the response body."""
         delimited = "content-length" in self or "transfer-encoding" in self
-        if not self.ends_with_connection or not self.final_headers_complete or delimited:
+        if not self.allow_close_delimited or not self.final_headers_complete or delimited:
             return False
         self.message_complete = True
         self.closed_by_peer = True
         return True
 
     closed_by_peer = False
-    ends_with_connection = False
+    allow_close_delimited = False
 
     @property
     def idle_seconds(self) -> float:
-        """How long the server keeps the connection open when nothing is sent on it."""
+        """Time in seconds for which the idle connection may be reused."""
         match = _KEEP_ALIVE_TIMEOUT.search(str(self.get("keep-alive") or ""))
         if match is None:
-            return MAXIMUM_IDLE_SECONDS
-        return min(MAXIMUM_IDLE_SECONDS, int(match[1]) - KEEP_ALIVE_MARGIN_SECONDS)
+            return MAX_IDLE_SECONDS
+        return min(MAX_IDLE_SECONDS, int(match[1]) - KEEP_ALIVE_MARGIN_SECONDS)
 
     @property
     def buffered_bytes(self) -> int:
-        """Body bytes parsed and not yet taken."""
+        """Number of body bytes parsed and not yet taken."""
         return len(self._body_buffer)
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """A request for a back end; ``target`` is the path with the query."""
+    """A request to a backend; ``target`` is the path with the query."""
 
     method: str
     target: str
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes = b""
     host: str = ""
-    """Value of the Host header; the back end's address when empty."""
+    """Value of the Host header; the backend's address if empty."""
 
 
-AnswerCheck = Callable[[int, list[tuple[str, str]]], bool]
-"""Tells from status and headers whether an answer belongs to the request."""
+ResponseCheck = Callable[[int, list[tuple[str, str]]], bool]
+"""Checks by status and headers whether a response belongs to the request."""
 
 
 @dataclass(slots=True)
 class HttpAnswer:
-    """A whole answer of a back end."""
+    """A complete response of a backend."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -142,17 +139,22 @@
 
 
 class HttpAnswerStream:
-    """An answer whose body is read as it comes. Close it, also when it has ended."""
+    """A response whose body is read incrementally. Must be closed, even after its end."""
 
-    def __init__(self, pool: HttpConnectionPool, sock: gevent.socket.socket, answer: _Answer):
+    def __init__(
+        self, pool: HttpConnectionPool, sock: gevent.socket.socket, parser: _ResponseParser
+    ):
         self._pool = pool
         self._sock: gevent.socket.socket | None = sock
-        self._answer = answer
-        self.status = answer.get_code()
-        self.headers = list(answer.items())
+        self._parser = parser
+        self.status = parser.get_code()
+        self.headers = list(parser.items())
 
     def chunks(self, deadline: float) -> Iterator[bytes]:
-        """Yield body bytes as they arrive, until the answer's end.
+        """Yield body bytes as they arrive, until the end of the response.
+
+        Args:
+            deadline: steady clock time, in seconds.
 
         Raises:
             RunkeelError: TRUNCATED_ANSWER, BACKEND_LOST or DEADLINE_EXCEEDED (MAY_HAVE_RUN).
@@ -161,87 +163,88 @@
             yield body
 
     def read_chunk(self, deadline: float) -> bytes | None:
-        """Return the next body bytes, None at the answer's end; raises like :meth:`chunks`.
+        """Return the next body bytes, None at the end of the response.
 
-        After DEADLINE_EXCEEDED it may be called again.
+        Raises like :meth:`chunks`; may be called again after DEADLINE_EXCEEDED.
         """
         while True:
-            body = self._answer.take_body()
+            body = self._parser.take_body()
             if body:
                 return body
-            if self._answer.finished:
+            if self._parser.finished:
                 return None
             if self._sock is None:
                 raise may_have_run(ErrorCode.CANCELLED, "the stream was closed")
-            _receive_into(self._sock, self._answer, deadline)
+            _receive_into(self._sock, self._parser, deadline)
 
     def close(self) -> None:
-        """Give the connection back if the answer was read to its end, else reset it."""
+        """Return the connection to the pool if the response was read to its end, else reset it."""
         sock, self._sock = self._sock, None
         if sock is not None:
-            self._pool.give_back(sock, self._answer)
+            self._pool.release(sock, self._parser)
 
     def abort(self) -> None:
-        """Reset the connection now; a task that reads the answer gets BACKEND_LOST."""
+        """Reset the connection; a task that reads the response gets BACKEND_LOST."""
         sock, self._sock = self._sock, None
         if sock is not None:
-            self._pool.drop(sock)
+            self._pool.reset(sock)
 
 
 class HttpConnectionPool:
-    """Connections to one back end.
+    """Connections to one backend.
 
     Args:
-        ends_with_connection: an answer without a length ends where its connection ends in
-            order; without this it counts as truncated, as back ends are asked to tell lengths.
+        max_response_bytes: maximum size of a response body.
+        allow_close_delimited: whether a response without a length may be delimited by a regular
+            close of the connection; otherwise it counts as truncated.
     """
 
     def __init__(
         self,
         address: Address,
-        maximum_answer_bytes: int = MAXIMUM_ANSWER_BYTES,
-        ends_with_connection: bool = False,
+        max_response_bytes: int = MAX_RESPONSE_BYTES,
+        allow_close_delimited: bool = False,
     ) -> None:
         self._address = (address.host, address.port)
         self._host = str(address)
-        self._maximum_answer_bytes = maximum_answer_bytes
-        self._ends_with_connection = ends_with_connection
+        self._max_response_bytes = max_response_bytes
+        self._allow_close_delimited = allow_close_delimited
         self._idle: list[tuple[gevent.socket.socket, float]] = []
         self._in_use: set[gevent.socket.socket] = set()
         self._closed = False
-        self._over = False
+        self._aborted = False
 
     def request(
         self,
         request: OutgoingRequest,
         deadline: float,
         before_send: Callable[[], None] | None = None,
-        accept: AnswerCheck | None = None,
+        accept: ResponseCheck | None = None,
     ) -> HttpAnswer:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete response.
 
         Args:
-            deadline: steady time at which to give up.
+            deadline: steady clock time, in seconds, at which to give up.
             before_send: called once, right before the first byte is written; if it raises,
                 nothing is sent.
-            accept: an answer for which it returns False is dropped with its connection.
+            accept: checks the response; if it returns False, the connection is reset.
 
         Raises:
             RunkeelError: BACKEND_UNREACHABLE (NOT_RUN: no byte was sent); BACKEND_LOST,
                 TRUNCATED_ANSWER or DEADLINE_EXCEEDED (MAY_HAVE_RUN).
         """
-        sock, answer = self._exchange_headers(request, deadline, before_send)
+        sock, parser = self._exchange_headers(request, deadline, before_send)
         try:
-            if accept is not None and not accept(answer.get_code(), list(answer.items())):
-                answer.message_complete = False
-                raise may_have_run(ErrorCode.BACKEND_LOST, "the answer is not to this request")
-            while not answer.finished:
-                if answer.buffered_bytes > self._maximum_answer_bytes:
-                    raise may_have_run(ErrorCode.BACKEND_LOST, "the answer is too large")
-                _receive_into(sock, answer, deadline)
+            if accept is not None and not accept(parser.get_code(), list(parser.items())):
+                parser.message_complete = False
+                raise may_have_run(ErrorCode.BACKEND_LOST, "response to a different request")
+            while not parser.finished:
+                if parser.buffered_bytes > self._max_response_bytes:
+                    raise may_have_run(ErrorCode.BACKEND_LOST, "response body too large")
+                _receive_into(sock, parser, deadline)
         finally:
-            self.give_back(sock, answer)
-        return HttpAnswer(answer.get_code(), list(answer.items()), answer.take_body())
+            self.release(sock, parser)
+        return HttpAnswer(parser.get_code(), list(parser.items()), parser.take_body())
 
     def open_stream(
         self,
@@ -249,32 +252,35 @@
         deadline: float,
         before_send: Callable[[], None] | None = None,
     ) -> HttpAnswerStream:
-        """Send a request and return after the answer's headers. Raises like :meth:`request`."""
-        sock, answer = self._exchange_headers(request, deadline, before_send)
-        return HttpAnswerStream(self, sock, answer)
-
-    def give_back(self, sock: gevent.socket.socket, answer: _Answer) -> None:
-        """Keep a connection whose answer ended cleanly; reset one that is given up midway."""
-        if not answer.finished or sock not in self._in_use:
-            self.drop(sock)
+        """Send a request and return once the response headers are complete.
+
+        Raises like :meth:`request`.
+        """
+        sock, parser = self._exchange_headers(request, deadline, before_send)
+        return HttpAnswerStream(self, sock, parser)
+
+    def release(self, sock: gevent.socket.socket, parser: _ResponseParser) -> None:
+        """Return a connection to the pool; resets it if its response is incomplete."""
+        if not parser.finished or sock not in self._in_use:
+            self.reset(sock)
             return
         self._in_use.discard(sock)
-        reusable = not answer.closed_by_peer and not answer.should_close()
-        if self._closed or not reusable or len(self._idle) >= MAXIMUM_IDLE_CONNECTIONS:
+        reusable = not parser.closed_by_peer and not parser.should_close()
+        if self._closed or not reusable or len(self._idle) >= MAX_IDLE_CONNECTIONS:
             sock.close()
             return
-        self._idle.append((sock, steady_seconds() + answer.idle_seconds))
+        self._idle.append((sock, steady_seconds() + parser.idle_seconds))
 
-    def drop(self, sock: gevent.socket.socket) -> None:
+    def reset(self, sock: gevent.socket.socket) -> None:
         """Reset a connection in use."""
         self._in_use.discard(sock)
         _reset(sock)
 
     def probe(self, seconds: float) -> Reachability:
-        """Find out whether the back end is there; a connection that comes about is kept for use.
+        """Check whether the backend accepts connections; keeps the connection for reuse.
 
         Args:
-            seconds: longest wait.
+            seconds: maximum time to wait.
         """
         sock = gevent.socket.socket()
         try:
@@ -290,61 +296,62 @@
         except BaseException:
             sock.close()
             raise
-        if self._closed or len(self._idle) >= MAXIMUM_IDLE_CONNECTIONS:
+        if self._closed or len(self._idle) >= MAX_IDLE_CONNECTIONS:
             sock.close()
         else:
-            self._idle.append((sock, steady_seconds() + PROBED_IDLE_SECONDS))
+            self._idle.append((sock, steady_seconds() + PROBE_IDLE_SECONDS))
         return Reachability.OPEN
 
     @property
     def idle_connections(self) -> int:
-        """Connections that are open and not in use."""
+        """Number of open connections that are not in use."""
         return len(self._idle)
 
     def close(self) -> None:
-        """Close the idle connections; connections in use are closed when given back."""
+        """Close the idle connections; those in use are closed when they are released."""
         self._closed = True
         while self._idle:
             self._idle.pop()[0].close()
 
     def abort(self) -> None:
-        """Reset all connections, those in use too, and make no more: the back end is over.
+        """Reset all connections, including those in use, and refuse new ones.
 
-        Whoever waits for an answer gets BACKEND_LOST or TRUNCATED_ANSWER now. A back end whose
-        machine lost power says nothing, so that its callers would wait until their time is up.
+        Called when the backend's incarnation is known to be over. Waiting callers get BACKEND_LOST
+        or TRUNCATED_ANSWER at once. Otherwise, if the backend's machine lost power, they would wait
+        until their deadline.
         """
-        self._over = True
+        self._aborted = True
         self.close()
         for sock in list(self._in_use):
-            self.drop(sock)
+            self.reset(sock)
 
     def _exchange_headers(
         self,
         request: OutgoingRequest,
         deadline: float,
         before_send: Callable[[], None] | None,
-    ) -> tuple[gevent.socket.socket, _Answer]:
+    ) -> tuple[gevent.socket.socket, _ResponseParser]:
         head = _encode_head(request, self._host)
         sock = self._connection(deadline)
         self._in_use.add(sock)
-        answer = _Answer(request.method)
-        answer.ends_with_connection = self._ends_with_connection
+        parser = _ResponseParser(request.method)
+        parser.allow_close_delimited = self._allow_close_delimited
         try:
             if before_send is not None:
                 before_send()
             _send(sock, head + request.body, deadline)
-            while not answer.final_headers_complete:
-                _receive_into(sock, answer, deadline)
+            while not parser.final_headers_complete:
+                _receive_into(sock, parser, deadline)
         except BaseException:
-            self.drop(sock)
+            self.reset(sock)
             raise
-        return sock, answer
+        return sock, parser
 
     def _connection(self, deadline: float) -> gevent.socket.socket:
         now = steady_seconds()
         while self._idle:
             sock, usable_until = self._idle.pop()
-            if now < usable_until and _is_quiet(sock):
+            if now < usable_until and _is_reusable(sock):
                 return sock
             sock.close()
         return self._connect(deadline - now)
@@ -352,7 +359,7 @@
     def _connect(self, remaining_seconds: float) -> gevent.socket.socket:
         if remaining_seconds <= 0:
             raise not_run(ErrorCode.DEADLINE_EXCEEDED, "no time left to connect")
-        self._check_not_over()
+        self._check_not_aborted()
         sock = gevent.socket.socket()
         try:
             sock.settimeout(min(CONNECT_TIMEOUT_SECONDS, remaining_seconds))
@@ -364,35 +371,35 @@
         except BaseException:
             sock.close()
             raise
-        if self._over:
+        if self._aborted:
             sock.close()
-        self._check_not_over()
+        self._check_not_aborted()
         return sock
 
-    def _check_not_over(self) -> None:
-        if self._over:
-            raise not_run(ErrorCode.BACKEND_UNREACHABLE, f"{self._host}: started anew")
+    def _check_not_aborted(self) -> None:
+        if self._aborted:
+            raise not_run(ErrorCode.BACKEND_UNREACHABLE, f"{self._host}: backend was restarted")
 
 
 def _set_options(sock: gevent.socket.socket) -> None:
-    """Send small requests at once, and notice a peer that has fallen silent."""
+    """Disable Nagle's algorithm and enable detection of an unreachable peer."""
     tcp = gevent.socket.IPPROTO_TCP
     sock.setsockopt(tcp, gevent.socket.TCP_NODELAY, 1)
     sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_KEEPALIVE, 1)
     sock.setsockopt(tcp, gevent.socket.TCP_KEEPIDLE, KEEP_ALIVE_PROBE_SECONDS)
     sock.setsockopt(tcp, gevent.socket.TCP_KEEPINTVL, KEEP_ALIVE_PROBE_SECONDS)
     sock.setsockopt(tcp, gevent.socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
-    sock.setsockopt(tcp, gevent.socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MILLISECONDS)
+    sock.setsockopt(tcp, gevent.socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLISECONDS)
 
 
 def _reset(sock: gevent.socket.socket) -> None:
-    """Close a connection at once, dropping what its peer has not acknowledged.
+    """Reset a connection, discarding data that the peer has not acknowledged.
 
-    After a plain close the kernel would go on sending: a request that a partition holds up would
-    reach the back end later, though it has been given up and may run elsewhere.
+    After a regular close the kernel would continue to send: once a network partition heals, the
+    backend would get a request that was abandoned and may already run elsewhere.
     """
     with contextlib.suppress(OSError):
-        sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_LINGER, _LINGER_NOT)
+        sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_LINGER, _RESET_ON_CLOSE)
     sock.close()
 
 
@@ -403,14 +410,16 @@
         lines.append(f"Content-Length: {len(request.body)}")
     text = "\r\n".join(lines)
     if text.count("\r") != len(lines) - 1 or text.count("\n") != len(lines) - 1:
-        raise not_run(ErrorCode.BAD_REQUEST, "line break in the request's head")
+        raise not_run(ErrorCode.BAD_REQUEST, "line break in the request line or a header")
     try:
         return text.encode("latin-1") + b"\r\n\r\n"
     except UnicodeEncodeError:
-        raise not_run(ErrorCode.BAD_REQUEST, "character outside latin-1 in the head") from None
+        raise not_run(
+            ErrorCode.BAD_REQUEST, "character outside latin-1 in the request line or a header"
+        ) from None
 
 
-def _is_quiet(sock: gevent.socket.socket) -> bool:
+def _is_reusable(sock: gevent.socket.socket) -> bool:
     """Return whether an idle connection is open and has no unread bytes."""
     sock.settimeout(0.0)
     try:
@@ -427,31 +436,37 @@
     try:
         sock.sendall(data)
     except TimeoutError as error:
-        raise may_have_run(ErrorCode.DEADLINE_EXCEEDED, "time-out while sending") from error
+        raise may_have_run(
+            ErrorCode.DEADLINE_EXCEEDED, "timed out while sending the request"
+        ) from error
     except OSError as error:
-        raise may_have_run(ErrorCode.BACKEND_LOST, f"while sending: {error}") from error
+        raise may_have_run(
+            ErrorCode.BACKEND_LOST, f"connection lost while sending the request: {error}"
+        ) from error
 
 
-def _receive_into(sock: gevent.socket.socket, answer: _Answer, deadline: float) -> None:
+def _receive_into(sock: gevent.socket.socket, parser: _ResponseParser, deadline: float) -> None:
     sock.settimeout(max(0.001, deadline - steady_seconds()))
     try:
         data = sock.recv(RECEIVE_BYTES)
     except TimeoutError as error:
-        raise may_have_run(ErrorCode.DEADLINE_EXCEEDED, "no answer in time") from error
+        raise may_have_run(
+            ErrorCode.DEADLINE_EXCEEDED, "timed out waiting for the response"
+        ) from error
     except OSError as error:
-        raise _cut(answer, str(error)) from error
+        raise _incomplete_error(parser, str(error)) from error
     if not data:
-        if answer.end_of_input():
+        if parser.handle_eof():
             return
-        raise _cut(answer, "connection closed")
+        raise _incomplete_error(parser, "connection closed")
     try:
-        answer.feed(data)
+        parser.feed(data)
     except HTTPParseError as error:
-        raise may_have_run(ErrorCode.BACKEND_LOST, f"broken answer: {error}") from error
+        raise may_have_run(ErrorCode.BACKEND_LOST, f"malformed response: {error}") from error
 
 
-def _cut(answer: _Answer, detail: str) -> RunkeelError:
-    """Build the error for a connection that ended before the answer's end."""
-    if answer.final_headers_complete:
+def _incomplete_error(parser: _ResponseParser, detail: str) -> RunkeelError:
+    """Return the error for a connection that ended before the response was complete."""
+    if parser.final_headers_complete:
         return may_have_run(ErrorCode.TRUNCATED_ANSWER, detail)
     return may_have_run(ErrorCode.BACKEND_LOST, detail)
--- a/tests/backends/test_http_connection.py
+++ b/tests/backends/test_http_connection.py
@@ -1,4 +1,4 @@
-"""Verdicts of the connections to back ends, against scripted servers."""
+"""Verdicts of backend connections, tested against scripted servers."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 RESET = b""
 
 
 class ScriptedServer:
-    """Answers the n-th request of a connection with the n-th bytes, then closes it."""
+    """Responds to the n-th request of a connection with the n-th item, then closes it."""
 
-    def __init__(self, *answers: bytes) -> None:
-        self.answers = answers
+    def __init__(self, *responses: bytes) -> None:
+        self.responses = responses
         self.connections = 0
         self.requests: list[bytes] = []
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
@@ -39,7 +39,7 @@
 
     def _serve(self, sock, _address) -> None:
         self.connections += 1
-        for answer in self.answers:
+        for response in self.responses:
             data = b""
             while b"\r\n\r\n" not in data:
                 received = sock.recv(65_536)
@@ -47,13 +47,13 @@
                     return
                 data += received
             self.requests.append(data)
-            sock.sendall(answer)
+            sock.sendall(response)
 
 
-def _end(sock) -> str:
-    """Begin to answer, then tell how the client ends its connection."""
+def _observe_end(sock) -> str:
+    """Send part of a response, then return how the client ends the connection."""
     sock.recv(65_536)
-    sock.sendall(WHOLE[:-1])
+    sock.sendall(COMPLETE_RESPONSE[:-1])
     try:
         while sock.recv(65_536):
             pass
@@ -63,10 +63,10 @@
 
 
 class HttpConnectionPoolTest(unittest.TestCase):
-    def serve(self, *answers: bytes) -> ScriptedServer:
-        self.server = ScriptedServer(*answers)
+    def serve(self, *responses: bytes) -> ScriptedServer:
+        self.server = ScriptedServer(*responses)
         self.addCleanup(self.server.stop)
-        self.pool = HttpConnectionPool(self.server.address, maximum_answer_bytes=100_000)
+        self.pool = HttpConnectionPool(self.server.address, max_response_bytes=100_000)
         self.addCleanup(self.pool.close)
         return self.server
 
@@ -81,26 +81,26 @@
             self.get(**arguments)
         self.assertEqual((caught.exception.code, caught.exception.verdict), (code, verdict))
 
-    def test_keep_alive_connection_is_used_again(self) -> None:
-        server = self.serve(WHOLE, WHOLE, WHOLE)
+    def test_keep_alive_connection_is_reused(self) -> None:
+        server = self.serve(COMPLETE_RESPONSE, COMPLETE_RESPONSE, COMPLETE_RESPONSE)
         for _ in range(3):
             self.assertEqual(self.get().body, b"hello")
         self.assertEqual(server.connections, 1)
         self.assertIn(b"A: b\r\n", server.requests[0])
 
     def test_connection_closed_while_idle_is_replaced(self) -> None:
-        server = self.serve(WHOLE)
+        server = self.serve(COMPLETE_RESPONSE)
         self.get()
         time.sleep(0.02)
         self.assertEqual(self.get().body, b"hello")
         self.assertEqual(server.connections, 2)
 
     def test_refused_connection_proves_not_run(self) -> None:
-        self.serve(WHOLE).stop()
+        self.serve(COMPLETE_RESPONSE).stop()
         self.assert_fails(ErrorCode.BACKEND_UNREACHABLE, Verdict.NOT_RUN)
 
-    def test_refusal_before_send_writes_nothing(self) -> None:
-        server = self.serve(WHOLE)
+    def test_error_before_send_writes_nothing(self) -> None:
+        server = self.serve(COMPLETE_RESPONSE)
 
         def refuse() -> None:
             raise not_run(ErrorCode.WITHDRAWN)
@@ -109,80 +109,80 @@
         time.sleep(0.02)
         self.assertEqual(server.requests, [])
 
-    def test_connection_lost_before_the_answer(self) -> None:
+    def test_connection_lost_before_the_response(self) -> None:
         self.serve(RESET)
         self.assert_fails(ErrorCode.BACKEND_LOST)
 
     def test_reused_connection_lost_after_the_send_may_have_run(self) -> None:
-        self.serve(WHOLE, RESET)
+        self.serve(COMPLETE_RESPONSE, RESET)
         self.get()
         self.assert_fails(ErrorCode.BACKEND_LOST)
 
     def test_truncated_bodies_are_never_a_short_success(self) -> None:
-        for answer in (
-            WHOLE[:-1],
+        for response in (
+            COMPLETE_RESPONSE[:-1],
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
             b"HTTP/1.1 200 OK\r\n\r\nhello without any length",
         ):
-            with self.subTest(answer):
-                self.serve(answer)
+            with self.subTest(response):
+                self.serve(response)
                 self.assert_fails(ErrorCode.TRUNCATED_ANSWER)
 
-    def test_answer_may_end_with_its_connection_where_that_is_allowed(self) -> None:
+    def test_close_delimited_response_where_allowed(self) -> None:
         server = self.serve(b"HTTP/1.1 200 OK\r\n\r\nhello without any length")
-        self.pool = HttpConnectionPool(server.address, ends_with_connection=True)
+        self.pool = HttpConnectionPool(server.address, allow_close_delimited=True)
         for _ in range(2):
             self.assertEqual(self.get().body, b"hello without any length")
         self.assertEqual(server.connections, 2)
 
-    def test_reset_answer_without_a_length_is_not_whole(self) -> None:
-        server = self.serve(WHOLE[:-1])
-        self.pool = HttpConnectionPool(server.address, ends_with_connection=True)
+    def test_truncated_response_where_close_delimited_is_allowed(self) -> None:
+        server = self.serve(COMPLETE_RESPONSE[:-1])
+        self.pool = HttpConnectionPool(server.address, allow_close_delimited=True)
         self.assert_fails(ErrorCode.TRUNCATED_ANSWER)
 
-    def test_answer_to_another_request_is_dropped_with_its_connection(self) -> None:
-        server = self.serve(WHOLE)
+    def test_rejected_response_resets_its_connection(self) -> None:
+        server = self.serve(COMPLETE_RESPONSE)
         for _ in range(2):
             self.assert_fails(ErrorCode.BACKEND_LOST, accept=lambda status, headers: False)
         self.assertEqual(server.connections, 2)
 
-    def test_idle_connection_is_given_up_before_the_server_closes_it(self) -> None:
-        answer = WHOLE.replace(b"OK\r\n", b"OK\r\nKeep-Alive: timeout=0\r\n", 1)
-        server = self.serve(answer, answer)
+    def test_idle_connection_is_discarded_before_the_server_closes_it(self) -> None:
+        response = COMPLETE_RESPONSE.replace(b"OK\r\n", b"OK\r\nKeep-Alive: timeout=0\r\n", 1)
+        server = self.serve(response, response)
         self.get()
         self.get()
         self.assertEqual(server.connections, 2)
 
-    def test_connection_after_a_cut_answer_is_not_used_again(self) -> None:
-        server = self.serve(WHOLE[:-1])
+    def test_connection_is_not_reused_after_a_truncated_response(self) -> None:
+        server = self.serve(COMPLETE_RESPONSE[:-1])
         for _ in range(2):
             self.assert_fails(ErrorCode.TRUNCATED_ANSWER)
         self.assertEqual(server.connections, 2)
 
-    def test_bytes_after_the_answer_never_become_the_next_answer(self) -> None:
+    def test_bytes_after_a_response_never_become_the_next_response(self) -> None:
         crossed = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nWRONG"
-        self.serve(WHOLE + crossed, WHOLE)
+        self.serve(COMPLETE_RESPONSE + crossed, COMPLETE_RESPONSE)
         self.assert_fails(ErrorCode.BACKEND_LOST)
-        server = self.serve(WHOLE, WHOLE)
+        server = self.serve(COMPLETE_RESPONSE, COMPLETE_RESPONSE)
         self.get()
-        # Unasked bytes on an idle connection make it unfit.
+        # Unsolicited bytes on an idle connection make it unusable.
         self.pool._idle[0][0].settimeout(1)
         self.assertEqual(self.get().body, b"hello")
         self.assertEqual(server.connections, 1)
 
-    def test_garbage_and_endless_answers(self) -> None:
+    def test_malformed_and_oversized_responses(self) -> None:
         self.serve(b"SSH-2.0-x\r\n\r\n")
         self.assert_fails(ErrorCode.BACKEND_LOST)
         self.serve(b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 300_000)
         self.assert_fails(ErrorCode.BACKEND_LOST)
 
-    def test_silence_until_the_deadline(self) -> None:
-        server = self.serve(b"HTTP/1.1 100 Continue\r\n\r\n", WHOLE)
+    def test_no_response_before_the_deadline(self) -> None:
+        server = self.serve(b"HTTP/1.1 100 Continue\r\n\r\n", COMPLETE_RESPONSE)
         self.assert_fails(ErrorCode.DEADLINE_EXCEEDED, seconds=0.05)
         server.stop()
         self.assert_fails(ErrorCode.DEADLINE_EXCEEDED, Verdict.NOT_RUN, seconds=-1)
 
-    def test_request_that_is_given_up_is_reset_so_that_nothing_of_it_arrives_later(self) -> None:
+    def test_connection_of_an_abandoned_request_is_reset(self) -> None:
         listener = gevent.socket.socket()
         self.addCleanup(listener.close)
         listener.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_RCVBUF, 4_096)
@@ -202,9 +202,11 @@
                 received += len(data)
         self.assertLess(received, len(body) // 2)
 
-    def test_stream_that_is_given_up_is_reset(self) -> None:
-        ends = Queue()
-        server = StreamServer(("127.0.0.1", 0), lambda sock, _: ends.put(_end(sock)))
+    def test_connection_of_an_abandoned_stream_is_reset(self) -> None:
+        observed_ends = Queue()
+        server = StreamServer(
+            ("127.0.0.1", 0), lambda sock, _: observed_ends.put(_observe_end(sock))
+        )
         server.start()
         self.addCleanup(server.stop, 0.005)
         pool = HttpConnectionPool(Address("127.0.0.1", server.server_port))
@@ -212,14 +214,14 @@
             with self.subTest(give_up):
                 request = OutgoingRequest("GET", "/")
                 give_up(pool.open_stream(request, steady_seconds() + 1.0))
-                self.assertEqual(ends.get(timeout=10.0), "reset")
+                self.assertEqual(observed_ends.get(timeout=10.0), "reset")
 
-    def test_line_breaks_do_not_smuggle_headers(self) -> None:
-        self.serve(WHOLE)
+    def test_line_breaks_cannot_inject_headers(self) -> None:
+        self.serve(COMPLETE_RESPONSE)
         self.assert_fails(ErrorCode.BAD_REQUEST, Verdict.NOT_RUN, target="/ HTTP/1.1\r\nX: y")
         self.assert_fails(ErrorCode.BAD_REQUEST, Verdict.NOT_RUN, target="/\u2603")
 
-    def test_head_and_empty_answers(self) -> None:
+    def test_head_and_empty_responses(self) -> None:
         self.serve(
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
             b"HTTP/1.1 204 No Content\r\n\r\n",
