--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -17,7 +17,7 @@
 from runkeel.gateway.backends import BackendDirectory, BackendState, choose_backend
 from runkeel.gateway.event_order import follows
 from runkeel.gateway.return_time import estimate_retry_after
-from runkeel.http.frontend import AnswerBrokenOffError
+from runkeel.http.frontend import ResponseAbortedError
 from runkeel.metrics import ATTEMPTS
 from runkeel.quarantine.quarantine import Quarantine, WatchedRequest
 from runkeel.usage.meter import UsageMeter
@@ -266,13 +266,13 @@
         relay.watched.lost(relay.state, error)
         self._close_stream(relay)
         if not relay.route.resumable or relay.gone.is_set():
-            raise AnswerBrokenOffError(error.detail)
+            raise ResponseAbortedError(error.detail)
         try:
             failure = self._connect(relay)
         except RunkeelError as raised:
-            raise AnswerBrokenOffError(raised.detail) from raised
+            raise ResponseAbortedError(raised.detail) from raised
         if failure is not None:
-            raise AnswerBrokenOffError(f"status {failure.status}")
+            raise ResponseAbortedError(f"status {failure.status}")
 
     def _close_stream(self, relay: _Relay) -> None:
         stream, relay.stream = relay.stream, None
--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -1,8 +1,8 @@
-"""The HTTP listener towards clients whose requests are passed on to servers.
+"""HTTP listener for client requests that are forwarded to servers.
 
-Built on gevent's WSGI server. Unlike :mod:`runkeel.http.server` it keeps the request's target
-and headers as they were sent, tells the handler when the client has closed its connection, and
-never ends a broken answer as if it were whole.
+Built on gevent's WSGI server. Unlike :mod:`runkeel.http.server`, it passes on the request target
+and headers unchanged, notifies the handler when the client disconnects, and never terminates an
+incomplete response as if it were complete.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 _BACKLOG = 512
 _BODILESS_STATUSES = (204, 304)
-_REQUEST = "runkeel.handler"
+_HANDLER_KEY = "runkeel.handler"
 _MINIMUM_HEADER_SECONDS = 1.0
 
 
@@ -33,10 +33,10 @@
     """A request as the client sent it.
 
     Attributes:
-        target: path and query, undecoded.
-        received_at: steady time at which its head was read.
+        target: path and query, not decoded.
+        received_at: steady clock time, in seconds, at which the headers had been read.
         gone: set when the client has closed its connection.
-        tenant: on whose behalf it is answered, once that is known.
+        tenant: name of the tenant; empty until it is known.
     """
 
     method: str
@@ -48,7 +48,7 @@
     tenant: str = ""
 
     def header(self, name: str) -> str:
-        """Return a header's value, empty when it is missing."""
+        """Return a header's value, empty if it is missing."""
         lower = name.lower()
         return next((value for key, value in self.headers if key.lower() == lower), "")
 
@@ -65,21 +65,21 @@
 
 @dataclass(slots=True)
 class ClientAnswer:
-    """An answer to a client; an iterable body is sent in chunks as it comes."""
+    """A response to a client; an iterable body is sent in chunks as it arrives."""
 
     status: int
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes | Iterable[bytes] = b""
 
 
-class AnswerBrokenOffError(Exception):
-    """Raised by an answer's body to end the connection without completing the answer."""
+class ResponseAbortedError(Exception):
+    """Raised to close the client's connection without completing the response."""
 
 
 class _Handler(WSGIHandler):
     def get_environ(self) -> dict[str, Any]:
         environment = super().get_environ()
-        environment[_REQUEST] = self
+        environment[_HANDLER_KEY] = self
         if self.server.stopping:
             self.close_connection = True
         return environment
@@ -109,16 +109,16 @@
             self.busy = False
 
     def handle_error(self, kind: Any, value: Any, traceback: Any) -> None:
-        if isinstance(value, AnswerBrokenOffError):
+        if isinstance(value, ResponseAbortedError):
             self.close_connection = True
             return
         super().handle_error(kind, value, traceback)
 
     def log_request(self) -> None:
-        """Write no line; decisions are logged where they are taken."""
+        """Disable access logs; decisions are logged where they are made."""
 
     def log_error(self, message: str, *arguments: object) -> None:
-        """Write no line about malformed requests."""
+        """Disable logs of malformed requests."""
 
 
 class _Server(WSGIServer):
@@ -129,17 +129,19 @@
     handlers: set[_Handler]
 
     def update_environ(self) -> None:
-        """Name the server by its address; a look-up of its name could block."""
+        """Set SERVER_NAME to the address; the default is a DNS lookup, which could block."""
         host, port = self.address[:2]
         self.environ["SERVER_NAME"] = host
         self.environ["SERVER_PORT"] = str(port)
 
 
 class Frontend:
-    """Listens for clients and answers each request by a handler.
+    """HTTP server that responds to each client request with the result of a handler.
 
     Args:
-        limits: asked for each new connection.
+        listen: address to listen on.
+        handler: returns the response to a request.
+        limits: returns the limits in force; called for each connection and request.
     """
 
     def __init__(
@@ -162,31 +164,31 @@
 
     @property
     def address(self) -> Address:
-        """The address listened on."""
+        """The address that the server listens on."""
         return Address(self._server.server_host, self._server.server_port)
 
     @property
     def in_flight(self) -> int:
-        """Requests being answered."""
+        """Number of requests in flight."""
         return self._server.in_flight
 
     def start(self) -> None:
-        """Listen. Raises OSError when the address is in use."""
+        """Start listening. Raises OSError if the address is in use."""
         self._server.start()
 
     def close_after_answers(self) -> None:
-        """Close each connection after its next answer; new ones are still taken."""
+        """Close each connection after its next response; still accept new connections."""
         self._server.stopping = True
 
     def stop_accepting(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self._server.stopping = True
         self._server.stop_accepting()
         if not self._server.closed:
             self._server.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is being answered or read."""
+        """Close the connections that have no request in flight or partly read."""
         for handler in list(self._server.handlers):
             if not handler.busy and handler.requestline is None:
                 handler.socket.close()
@@ -198,44 +200,48 @@
     def _application(
         self, environment: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        connection: _Handler = environment[_REQUEST]
-        request = self._read(environment, connection)
+        connection: _Handler = environment[_HANDLER_KEY]
+        request = self._read_request(environment, connection)
         if request is None:
             start_response(_status_line(413), [("Content-Length", "0"), ("Connection", "close")])
             return [b""]
         watcher = gevent.spawn(_watch_disconnect, connection.socket, request.gone)
         try:
-            answer = self._answer(request)
+            response = self._respond(request)
         except BaseException:
             watcher.kill(block=False)
             raise
-        if isinstance(answer.body, bytes):
+        if isinstance(response.body, bytes):
             watcher.kill(block=False)
-            return self._send_whole(answer, connection, start_response)
-        start_response(_status_line(answer.status), answer.headers)
-        return _relay(answer.body, watcher)
+            return self._send_complete(response, connection, start_response)
+        start_response(_status_line(response.status), response.headers)
+        return _relay(response.body, watcher)
 
-    def _send_whole(
-        self, answer: ClientAnswer, connection: _Handler, start_response: Callable[..., Any]
+    def _send_complete(
+        self, response: ClientAnswer, connection: _Handler, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        if answer.status not in _BODILESS_STATUSES:
-            answer.headers.append(("Content-Length", str(len(answer.body))))
+        if response.status not in _BODILESS_STATUSES:
+            response.headers.append(("Content-Length", str(len(response.body))))
         if self._server.stopping:
             connection.close_connection = True
-            answer.headers.append(("Connection", "close"))
-        start_response(_status_line(answer.status), answer.headers)
-        return [answer.body]
+            response.headers.append(("Connection", "close"))
+        start_response(_status_line(response.status), response.headers)
+        return [response.body]
 
-    def _answer(self, request: ClientRequest) -> ClientAnswer:
+    def _respond(self, request: ClientRequest) -> ClientAnswer:
         try:
             return self._handler(request)
-        except AnswerBrokenOffError:
+        except ResponseAbortedError:
             raise
         except Exception as error:
-            logger.opt(exception=error).error("unexpected error", code="internal")
+            logger.opt(exception=error).error(
+                "unexpected error in request handler", code="internal"
+            )
             return ClientAnswer(500)
 
-    def _read(self, environment: dict[str, Any], connection: _Handler) -> ClientRequest | None:
+    def _read_request(
+        self, environment: dict[str, Any], connection: _Handler
+    ) -> ClientRequest | None:
         received_at = steady_seconds()
         limit = self._limits().maximum_body_bytes
         body = _read_body(environment, limit)
@@ -249,7 +255,7 @@
 
 
 def _read_body(environment: dict[str, Any], limit: int) -> bytes | None:
-    """Return the request's body, None when it is longer than the limit."""
+    """Return the request body, None if it exceeds the limit in bytes."""
     length_text = environment.get("CONTENT_LENGTH") or ""
     chunked = "chunked" in environment.get("HTTP_TRANSFER_ENCODING", "").lower()
     if not chunked and not length_text:
@@ -260,12 +266,12 @@
     if len(body) > limit:
         return None
     if not chunked and len(body) < int(length_text):
-        raise AnswerBrokenOffError("the body was cut short")
+        raise ResponseAbortedError("request body truncated")
     return body
 
 
 def _watch_disconnect(sock: socket.socket, gone: Event) -> None:
-    """Set the event when the peer closes; stop at bytes of a further request."""
+    """Set the event when the peer disconnects; return if it pipelines another request."""
     try:
         socket.wait_read(sock.fileno())
         if not sock.recv(1, socket.MSG_PEEK):
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -9,7 +9,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway.streams import StreamForwarder
-from runkeel.http.frontend import AnswerBrokenOffError
+from runkeel.http.frontend import ResponseAbortedError
 from runkeel.usage.meter import UsageMeter
 from tests.gateway.scripted_servers import (
     SERVICE,
@@ -70,7 +70,7 @@
         pool = ScriptedPool(200, [b"1\n\n2\n\n3", lost()])
         stream = self.open(make_route(attempts=1), a=pool)
         passed = []
-        with self.assertRaises(AnswerBrokenOffError):
+        with self.assertRaises(ResponseAbortedError):
             passed.extend(stream.body)
         self.assertEqual(b"".join(passed), b"1\n\n2\n\n")
         self.assertEqual(self.in_flight(), 0)
@@ -78,14 +78,14 @@
     def test_event_out_of_order_is_not_passed_on(self):
         stream = self.open(make_route(attempts=1), a=ScriptedPool(200, [b"1\n\n3\n\n"]))
         passed = []
-        with self.assertRaises(AnswerBrokenOffError):
+        with self.assertRaises(ResponseAbortedError):
             passed.extend(stream.body)
         self.assertEqual(passed, [b"1\n\n"])
 
     def test_other_stream_is_never_continued(self):
         pools = {name: ScriptedPool(200, [b"x", lost()]) for name in ("a", "b")}
         stream = self.open(make_route(resumable=False), **pools)
-        with self.assertRaises(AnswerBrokenOffError):
+        with self.assertRaises(ResponseAbortedError):
             list(stream.body)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
 
@@ -110,7 +110,7 @@
         broken = ScriptedPool(200, [b"1\n\n", lost()])
         stream = self.open(make_route(), last=["b"], a=broken, b=ScriptedPool())
         self.gone.set()
-        with self.assertRaises(AnswerBrokenOffError):
+        with self.assertRaises(ResponseAbortedError):
             list(stream.body)
         self.assertEqual(self.directory.get("b").pool.requests, 0)
 
