--- a/src/runkeel/gateway/__init__.py
+++ b/src/runkeel/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a client's request: route, choose a server, send, retry, relay."""
+"""Request path: routing, server selection, forwarding, retries and stream relaying."""
--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -59,7 +59,7 @@
         failures: consecutive failures.
         avoid_until: steady clock time, in seconds, until which the server is avoided.
         answered_at: steady clock time of its last response to a request of this node.
-        answer_seconds: moving average of its response times in seconds; 0 if unknown.
+        average_response_seconds: moving average of its response times in seconds; 0 if unknown.
         replaced: whether a newer incarnation has taken over the server id.
     """
 
--- a/src/runkeel/gateway/deferrable_calls.py
+++ b/src/runkeel/gateway/deferrable_calls.py
@@ -46,7 +46,7 @@
     The limit shrinks multiplicatively when a server is full and grows linearly with time.
 
     Args:
-        places: returns the total number of slots of the service's usable servers.
+        total_slots: returns the total number of slots of the service's usable servers.
         now: steady clock, in seconds.
 
     Attributes:
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -34,23 +34,23 @@
 
 @dataclass(slots=True)
 class _Outcome:
-    """Result of one attempt; exactly one of answer and error is set."""
+    """Result of one attempt; exactly one of response and error is set."""
 
     state: BackendState
-    answer_class: AnswerClass | None = None
-    answer: HttpAnswer | None = None
+    response_class: AnswerClass | None = None
+    response: HttpAnswer | None = None
     error: RunkeelError | None = None
 
     @property
     def label(self) -> str:
-        return self.answer_class.value if self.answer_class else str(self.error.code)
+        return self.response_class.value if self.response_class else str(self.error.code)
 
     @property
     def ran(self) -> bool:
         """Whether a server may have run the request."""
         if self.error is not None:
             return self.error.verdict is not Verdict.NOT_RUN
-        return self.answer_class in (AnswerClass.SUCCESS, AnswerClass.FAILURE)
+        return self.response_class in (AnswerClass.SUCCESS, AnswerClass.FAILURE)
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
     tasks: list[gevent.Greenlet] = field(default_factory=list)
     tried: set[str] = field(default_factory=set)
     running: int = 0
-    answered: bool = False
+    completed: bool = False
     sent: int = 0
     """Attempts that may have run, including those in flight."""
     failure: _Outcome | None = None
@@ -146,10 +146,10 @@
                 continue
             if outcome is _CLIENT_DISCONNECTED:
                 raise self._abandoned_error(progress, ErrorCode.CANCELLED)
-            answer = self._handle_outcome(progress, outcome)
-            if answer is not None:
-                progress.answered = True
-                return answer
+            response = self._handle_outcome(progress, outcome)
+            if response is not None:
+                progress.completed = True
+                return response
             if not progress.running or not progress.route.repeatable:
                 self._start_attempt(progress, "retry")
         return self._finish(progress)
@@ -157,12 +157,12 @@
     def _handle_outcome(self, progress: _Progress, outcome: _Outcome) -> HttpAnswer | None:
         progress.running -= 1
         ATTEMPTS.labels(progress.service, outcome.label).inc()
-        if outcome.answer_class is AnswerClass.SUCCESS:
-            return outcome.answer
+        if outcome.response_class is AnswerClass.SUCCESS:
+            return outcome.response
         if not outcome.ran:
             progress.sent -= 1
         else:
-            if outcome.answer is not None or progress.failure is None:
+            if outcome.response is not None or progress.failure is None:
                 progress.failure = outcome
             if not progress.route.repeatable:
                 return self._finish(progress)
@@ -174,8 +174,8 @@
         if failure is None:
             code = ErrorCode.QUEUE_FULL if progress.tried else ErrorCode.NO_BACKEND
             raise not_run(code, progress.service, self._retry_after_seconds(progress))
-        if failure.answer is not None:
-            return failure.answer
+        if failure.response is not None:
+            return failure.response
         raise failure.error
 
     def _wait_seconds(self, progress: _Progress) -> float:
@@ -251,36 +251,36 @@
         try:
             outcome = self._exchange(progress, state)
         except gevent.GreenletExit:
-            if not progress.answered:
+            if not progress.completed:
                 # The request may still crash its server after the attempt was cancelled.
                 progress.watched.lost(state, may_have_run(ErrorCode.CANCELLED))
             raise
         _record_outcome(state, outcome)
-        if outcome.answer_class is AnswerClass.SUCCESS:
+        if outcome.response_class is AnswerClass.SUCCESS:
             state.record_response_time(steady_seconds() - started)
         progress.results.put(outcome)
 
     def _exchange(self, progress: _Progress, state: BackendState) -> _Outcome:
         request = progress.request
         remaining = progress.deadline - steady_seconds()
-        seen: list[AnswerClass] = []
+        response_classes: list[AnswerClass] = []
 
         def accept(status: int, headers: list[tuple[str, str]]) -> bool:
-            seen.append(self._protocol.classify(request.request_id, status, headers))
-            return seen[-1] is not AnswerClass.FOREIGN
+            response_classes.append(self._protocol.classify(request.request_id, status, headers))
+            return response_classes[-1] is not AnswerClass.FOREIGN
 
         try:
             outgoing = self._protocol.encode_plain(request, state.backend, remaining)
-            answer = state.pool.request(outgoing, progress.deadline, accept=accept)
+            response = state.pool.request(outgoing, progress.deadline, accept=accept)
         except RunkeelError as error:
             progress.watched.lost(state, error)
             return _Outcome(state, error=error)
         progress.watched.note_reached()
-        if seen[-1] is AnswerClass.SUCCESS:
+        if response_classes[-1] is AnswerClass.SUCCESS:
             progress.watched.succeeded()
-        elif seen[-1] is AnswerClass.MISDIRECTED:
+        elif response_classes[-1] is AnswerClass.MISDIRECTED:
             self._quarantine.ends.address_taken(state)
-        return _Outcome(state, answer_class=seen[-1], answer=answer)
+        return _Outcome(state, response_class=response_classes[-1], response=response)
 
     def _abandoned_error(self, progress: _Progress, code: ErrorCode) -> RunkeelError:
         verdict = Verdict.MAY_HAVE_RUN if progress.sent else Verdict.NOT_RUN
@@ -306,11 +306,11 @@
 
 def _record_outcome(state: BackendState, outcome: _Outcome) -> None:
     """Record the outcome of an attempt in the state of its server."""
-    if outcome.answer_class is AnswerClass.SUCCESS:
+    if outcome.response_class is AnswerClass.SUCCESS:
         state.succeeded()
-    elif outcome.answer_class is AnswerClass.REFUSED:
+    elif outcome.response_class is AnswerClass.REFUSED:
         state.refused()
-    elif outcome.error is not None or outcome.answer_class is AnswerClass.MISDIRECTED:
+    elif outcome.error is not None or outcome.response_class is AnswerClass.MISDIRECTED:
         state.failed()
 
 
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -170,33 +170,33 @@
             if stream is None:
                 state.in_flight -= 1
         relay.watched.note_reached()
-        answer_class = self._protocol.classify(request.request_id, stream.status, stream.headers)
-        ATTEMPTS.labels(relay.service, answer_class.value).inc()
-        if answer_class is AnswerClass.SUCCESS:
+        response_class = self._protocol.classify(request.request_id, stream.status, stream.headers)
+        ATTEMPTS.labels(relay.service, response_class.value).inc()
+        if response_class is AnswerClass.SUCCESS:
             relay.sent += 1
             relay.state, relay.stream = state, stream
             return None
-        return self._read_failure(relay, state, stream, answer_class)
+        return self._read_failure(relay, state, stream, response_class)
 
     def _read_failure(
         self,
         relay: _Relay,
         state: BackendState,
         stream: HttpAnswerStream,
-        answer_class: AnswerClass,
+        response_class: AnswerClass,
     ) -> OpenedStream:
         try:
             body = b"".join(stream.chunks(relay.deadline))
         finally:
             stream.close()
             state.in_flight -= 1
-        if answer_class in (AnswerClass.REFUSED, AnswerClass.MISDIRECTED):
+        if response_class in (AnswerClass.REFUSED, AnswerClass.MISDIRECTED):
             state.refused()
-            if answer_class is AnswerClass.MISDIRECTED:
+            if response_class is AnswerClass.MISDIRECTED:
                 self._quarantine.ends.address_taken(state)
             return OpenedStream(0, [], b"")
         relay.sent += 1
-        if answer_class is AnswerClass.FOREIGN:
+        if response_class is AnswerClass.FOREIGN:
             raise RunkeelError(ErrorCode.BACKEND_LOST, "response to a different request")
         return OpenedStream(stream.status, stream.headers, body)
 
@@ -252,7 +252,7 @@
         return None
 
     def _resume(self, relay: _Relay, error: RunkeelError) -> None:
-        """Resume at another server. Raises AnswerBrokenOffError if that fails."""
+        """Resume at another server. Raises ResponseAbortedError if that fails."""
         logger.info(
             "stream interrupted",
             code="stream_broken",
--- a/tests/gateway/__init__.py
+++ b/tests/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this part."""
+"""Tests of runkeel.gateway."""
--- a/tests/gateway/test_backends.py
+++ b/tests/gateway/test_backends.py
@@ -31,13 +31,13 @@
         for number in range(MANY):
             self.directory.put(make_backend(f"s{number}"))
 
-    def test_all_of_a_small_service_that_take_new_work(self):
+    def test_candidates_of_a_small_service_are_all_that_take_new_work(self):
         self.directory.put(make_backend("a"))
         self.directory.put(make_backend("leaving", draining=True))
         self.directory.put(make_backend("other", service="other"))
         self.assertEqual(self._names(), ["a"])
 
-    def test_server_that_fails_for_hours_is_left_for_a_bounded_time(self):
+    def test_ejection_time_is_bounded(self):
         """Guards against an overflow of the backoff after 1,024 consecutive failures."""
         self.directory.put(make_backend("a"))
         state = self.directory.get("a")
@@ -47,7 +47,7 @@
         self.assertTrue(state.avoided(now + MAX_EJECTION_SECONDS - 0.1))
         self.assertFalse(state.avoided(now + MAX_EJECTION_SECONDS + 0.1))
 
-    def test_server_that_begins_to_leave_is_no_candidate(self):
+    def test_draining_server_is_no_candidate(self):
         self.directory.put(make_backend("a"))
         self.directory.put(make_backend("a", draining=True))
         self.assertEqual(self._names(), [])
@@ -59,7 +59,7 @@
         self.directory.put(make_backend("a", service="other"))
         self.assertEqual(self._names(), [])
 
-    def test_few_of_many_and_the_same_ones_again(self):
+    def test_large_service_has_a_bounded_stable_set_of_candidates(self):
         """Guards against a selection cost that grows with the number of servers."""
         self._put_many()
         names = self._names()
@@ -76,7 +76,7 @@
         self.assertFalse({names[0], names[1]} & set(after))
         self.assertEqual(after[: CANDIDATES - 2], names[2:])
 
-    def test_others_are_drawn_where_no_candidate_is_left(self):
+    def test_other_servers_are_sampled_if_no_candidate_is_left(self):
         self._put_many()
         names = self._names()
         self.assertGreater(len(set(self._names(tried=set(names))) - set(names)), 0)
@@ -96,16 +96,16 @@
         state = choose_backend(self.directory.candidates(SERVICE), set(tried), "here")
         return state.backend_id if state is not None else None
 
-    def test_own_zone_among_equals_and_none_twice(self):
+    def test_own_zone_is_preferred_and_no_server_chosen_twice(self):
         self.assertEqual(self._choose(), "near")
         self.assertEqual(self._choose(tried=["near"]), "far")
         self.assertIsNone(self._choose(tried=["near", "far"]))
 
-    def test_emptier_server_before_a_nearer_one(self):
+    def test_load_takes_precedence_over_the_zone(self):
         self.directory.get("near").in_flight = 2
         self.assertEqual(self._choose(), "far")
 
-    def test_server_that_failed_comes_last(self):
+    def test_failed_server_is_chosen_last(self):
         self.directory.get("near").failed()
         self.assertEqual(self._choose(), "far")
 
--- a/tests/gateway/test_burst.py
+++ b/tests/gateway/test_burst.py
@@ -51,7 +51,7 @@
         self.assertLessEqual(max(pool.requests for pool in self.pools), SLOTS)
         self.assertEqual(sum(pool.requests for pool in self.pools), REQUESTS)
 
-    def test_servers_are_free_again_afterwards(self):
+    def test_slots_are_released_afterwards(self):
         gevent.joinall([gevent.spawn(self.send, number) for number in range(REQUESTS)])
         self.assertEqual({one.in_flight for one in self.directory.all()}, {0})
 
--- a/tests/gateway/test_deferrable_calls.py
+++ b/tests/gateway/test_deferrable_calls.py
@@ -107,7 +107,7 @@
         self.assertEqual(self.begun[-1], ("after", True))
         self.assertEqual(self.calls.limit_of(SERVICE).under_way, 0)
 
-    def test_services_do_not_wait_for_each_other(self):
+    def test_services_have_independent_limits(self):
         blockers = [gevent.spawn(self.call, n, 0.2) for n in range(2 * SERVERS * SLOTS)]
         gevent.sleep(0)
         with self.calls.place("other", steady_seconds()) as granted:
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -52,25 +52,25 @@
     def counted(self):
         return sum(counts.get("parish", 0) for counts in self.meter.windows().values())
 
-    def test_answer_is_returned_and_counted_once(self):
+    def test_response_is_returned_and_counted_once(self):
         self.assertEqual(self.forward(make_route(), a=ScriptedPool(200)).status, 200)
         self.assertEqual(self.counted, 1)
 
-    def test_repeatable_request_goes_elsewhere_after_a_lost_answer(self):
+    def test_repeatable_request_is_retried_after_a_lost_response(self):
         first, second = ScriptedPool(lost(), 200), ScriptedPool(200, 200)
         answer = self.forward(make_route(), a=first, b=second)
         self.assertEqual(answer.status, 200)
         self.assertLessEqual(first.requests + second.requests, 2)
         self.assertEqual(self.counted, 1)
 
-    def test_request_that_must_not_repeat_is_not_sent_again_after_a_lost_answer(self):
+    def test_non_repeatable_request_is_not_retried_after_a_lost_response(self):
         pools = {"a": ScriptedPool(lost()), "b": ScriptedPool(lost())}
         error = self.failure(make_route(RouteKind.NOT_REPEATABLE), **pools)
         self.assertIs(error.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
         self.assertEqual(self.counted, 1)
 
-    def test_request_that_must_not_repeat_goes_elsewhere_after_proof_that_none_ran_it(self):
+    def test_non_repeatable_request_is_retried_if_it_did_not_run(self):
         for proof in (503, 421, unreachable()):
             pools = {"a": ScriptedPool(proof, 200), "b": ScriptedPool(200, 200)}
             pools["b"].script[0] = proof
@@ -78,13 +78,13 @@
             route = make_route(RouteKind.NOT_REPEATABLE)
             self.assertEqual(self.forward(route, **pools).status, 200)
 
-    def test_refusals_by_all_have_not_run_and_are_not_counted(self):
+    def test_requests_refused_by_all_servers_did_not_run_and_are_not_counted(self):
         error = self.failure(make_route(), a=ScriptedPool(503), b=ScriptedPool(503))
         self.assertEqual((error.code, error.verdict), (ErrorCode.QUEUE_FULL, Verdict.NOT_RUN))
         self.assertIsNotNone(error.retry_after_seconds)
         self.assertEqual(self.counted, 0)
 
-    def test_no_server_at_all(self):
+    def test_no_servers(self):
         error = self.failure(make_route())
         self.assertEqual((error.code, error.verdict), (ErrorCode.NO_BACKEND, Verdict.NOT_RUN))
 
@@ -93,33 +93,33 @@
         self.failure(make_route(attempts=2), **pools)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 2)
 
-    def test_failure_of_a_server_is_passed_on_when_nobody_does_better(self):
+    def test_failure_response_is_returned_if_no_server_succeeds(self):
         answer = self.forward(make_route(attempts=2), a=ScriptedPool(500), b=ScriptedPool(500))
         self.assertEqual(answer.status, 500)
 
-    def test_silent_server_is_hedged_and_the_request_counts_once(self):
+    def test_unresponsive_server_is_hedged_and_the_request_counted_once(self):
         pools = {"a": ScriptedPool(silent), "b": ScriptedPool(silent), "c": ScriptedPool(200)}
         answer = self.forward(make_route(target=0.1), **pools)
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.counted, 1)
 
-    def test_request_that_must_not_repeat_is_not_hedged(self):
+    def test_non_repeatable_request_is_not_hedged(self):
         pools = {"a": ScriptedPool(after(0.1, 200)), "b": ScriptedPool(after(0.1, 200))}
         self.forward(make_route(RouteKind.NOT_REPEATABLE, target=0.02), **pools)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
 
-    def test_answer_at_the_deadline(self):
+    def test_deadline_exceeded(self):
         error = self.failure(make_route(attempts=1), seconds=0.1, a=ScriptedPool(silent))
         self.assertIs(error.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(self.counted, 1)
 
-    def test_client_that_leaves_ends_the_attempt(self):
+    def test_client_disconnect_cancels_the_attempt(self):
         gone = Event()
         gevent.spawn_later(0.05, gone.set)
         error = self.failure(make_route(attempts=1), 60.0, gone, a=ScriptedPool(silent))
         self.assertEqual(error.code, ErrorCode.CANCELLED)
 
-    def test_server_that_lost_an_answer_comes_last(self):
+    def test_failed_server_is_chosen_last(self):
         directory = directory_of(a=ScriptedPool(lost(), 200), b=ScriptedPool(200, 200, 200))
         forwarder = Forwarder(directory, StatusProtocol(), "here", self.meter, open_quarantine())
         directory.get("a").failed()
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -32,25 +32,25 @@
 from tests.open_quarantine import RETRY_SECONDS, open_quarantine
 
 
-class EndingPool(ScriptedPool):
+class CrashedPool(ScriptedPool):
     """Refuses connections when probed."""
 
     reachability = Reachability.REFUSED
 
 
-def ending(*names):
-    return {name: EndingPool(lost()) for name in names}
+def crashing_pools(*names):
+    return {name: CrashedPool(lost()) for name in names}
 
 
 class QuarantineCase(unittest.TestCase):
     def setUp(self):
         self.granted = False
-        self.asked = 0
+        self.trial_requests = 0
         self.quarantine = open_quarantine(self.ask_trial)
         self.ledger = self.quarantine.ledger
 
     def ask_trial(self, record):
-        self.asked += 1
+        self.trial_requests += 1
         return TrialAnswer(self.granted, 0.0 if self.granted else RETRY_SECONDS)
 
     def forward(self, route, pools, request=REQUEST, gone=None):
@@ -75,13 +75,13 @@
 
 
 class ForwarderQuarantineTest(QuarantineCase):
-    def test_no_server_after_the_third_that_ended_whatever_the_route_allows(self):
-        pools = ending("a", "b", "c", "d", "e")
+    def test_at_most_three_servers_are_crashed_whatever_the_route_allows(self):
+        pools = crashing_pools("a", "b", "c", "d", "e")
         error = self.failure(make_route(attempts=5), pools)
         self.assertIs(error.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(self.requests(pools), 3)
 
-    def test_request_that_is_held_back_is_refused_as_not_run(self):
+    def test_held_request_is_rejected_as_not_run(self):
         fingerprint = self.hold()
         pools = {"a": ScriptedPool(200)}
         error = self.failure(make_route(), pools)
@@ -91,52 +91,52 @@
         self.assertIn(fingerprint, error.detail)
         self.assertEqual(self.requests(pools), 0)
 
-    def test_coordinator_is_not_asked_for_each_request_that_is_held_back(self):
+    def test_coordinator_is_not_asked_for_each_held_request(self):
         self.hold()
         for _ in range(50):
             error = self.failure(make_route(), {"a": ScriptedPool(200)})
-        self.assertEqual(self.asked, 1)
+        self.assertEqual(self.trial_requests, 1)
         self.assertAlmostEqual(error.retry_after_seconds, RETRY_SECONDS, delta=1.0)
 
-    def test_coordinator_is_asked_again_once_more_is_known(self):
+    def test_coordinator_is_asked_again_after_another_crash(self):
         fingerprint = self.hold()
         self.failure(make_route(), {"a": ScriptedPool(200)})
         self.ledger.note_ended(fingerprint, SERVICE, "w")
         self.failure(make_route(), {"a": ScriptedPool(200)})
-        self.assertEqual(self.asked, 2)
+        self.assertEqual(self.trial_requests, 2)
 
-    def test_other_requests_are_not_concerned(self):
+    def test_other_requests_are_not_affected(self):
         self.hold()
         other = PlainRequest("r", "POST", "/p", "h", (), b"", tenant="school")
         self.assertEqual(self.forward(make_route(), {"a": ScriptedPool(200)}, other).status, 200)
 
-    def test_trial_reaches_one_server_only(self):
+    def test_trial_is_sent_to_one_server_only(self):
         self.granted = True
         self.hold()
-        pools = ending("a", "b", "c")
+        pools = crashing_pools("a", "b", "c")
         self.failure(make_route(), pools)
         self.assertEqual(self.requests(pools), 1)
 
-    def test_trial_that_succeeds_clears(self):
+    def test_successful_trial_releases_the_request(self):
         self.granted = True
         fingerprint = self.hold()
         self.assertEqual(self.forward(make_route(), {"a": ScriptedPool(200)}).status, 200)
         self.assertFalse(self.ledger.get(fingerprint).held)
 
-    def test_trial_that_a_server_refused_is_used_up(self):
+    def test_trial_refused_by_a_server_is_used_up(self):
         self.granted = True
         self.hold()
         pools = {"a": ScriptedPool(503), "b": ScriptedPool(503)}
         self.failure(make_route(), pools)
-        self.assertEqual(self.asked, self.requests(pools))
+        self.assertEqual(self.trial_requests, self.requests(pools))
 
-    def test_trial_that_reached_nobody_goes_on_and_is_given_back(self):
+    def test_trial_that_reached_no_server_continues_and_is_returned(self):
         self.granted = True
         fingerprint = self.hold()
         self.ledger.note_trial(fingerprint)
         pools = {name: ScriptedPool(unreachable()) for name in ("a", "b")}
         self.failure(make_route(), pools)
-        self.assertEqual((self.asked, self.requests(pools)), (1, 2))
+        self.assertEqual((self.trial_requests, self.requests(pools)), (1, 2))
         self.assertEqual(self.ledger.get(fingerprint).trials_used, 0)
 
     def test_suspected_request_is_not_hedged(self):
@@ -146,18 +146,18 @@
         self.forward(make_route(target=0.02), pools)
         self.assertEqual(self.requests(pools), 1)
 
-    def test_broken_connection_to_a_server_that_lives_is_no_end(self):
+    def test_lost_connection_to_a_running_server_is_no_crash(self):
         pools = {"a": ScriptedPool(lost()), "b": ScriptedPool(lost())}
         self.failure(make_route(attempts=2), pools)
         self.assertEqual(len(self.ledger), 0)
 
-    def test_server_that_goes_after_its_silence_has_ended(self):
+    def test_unresponsive_server_that_disappears_has_crashed(self):
         self.failure(make_route(attempts=1), {"a": ScriptedPool(silent)})
         self.assertEqual(len(self.ledger), 0)
         self.quarantine.ends.backend_gone(self.directory.get("a"))
         self.assertEqual(len(self.ledger), 1)
 
-    def test_server_that_goes_after_the_client_has_left_has_ended(self):
+    def test_server_that_disappears_after_a_client_disconnect_has_crashed(self):
         """A client that disconnects early must not hide which request crashes servers."""
         gone = Event()
         gevent.spawn_later(0.05, gone.set)
@@ -167,7 +167,7 @@
         self.quarantine.ends.backend_gone(self.directory.get("a"))
         self.assertEqual(len(self.ledger), 1)
 
-    def test_server_that_starts_anew_under_its_id_has_ended(self):
+    def test_server_restarted_under_the_same_id_has_crashed(self):
         """Guards against missing the crash of a server that restarts under the same id."""
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
         before = self.directory.get("a")
@@ -178,14 +178,14 @@
         (record,) = self.ledger.records()
         self.assertEqual(record.ended, {"a"})
 
-    def test_server_that_drained_and_starts_anew_has_ended_as_planned(self):
+    def test_restart_of_a_drained_server_is_no_crash(self):
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
         state = self.directory.get("a")
         state.backend = replace(state.backend, draining=True)
         self.quarantine.ends.backend_restarted(state)
         self.assertEqual(len(self.ledger), 0)
 
-    def test_connection_that_breaks_once_the_server_has_started_anew(self):
+    def test_connection_lost_after_the_restart_is_known(self):
         """The update of the directory may arrive before the connection closes."""
         fingerprint = self.quarantine.fingerprints.of_plain(REQUEST)
         self.failure(make_route(attempts=1), {"a": ScriptedPool(silent)})
@@ -196,7 +196,7 @@
         )
         self.assertEqual(len(self.ledger), 1)
 
-    def test_three_starts_under_one_id_are_three_servers(self):
+    def test_three_incarnations_of_one_id_count_as_three_servers(self):
         fingerprint = self.quarantine.fingerprints.of_plain(REQUEST)
         for start in ("1000", "2000", "3000"):
             backend = Backend("a", SERVICE, Address("127.0.0.1", 1), "here", start=start)
@@ -207,7 +207,7 @@
             )
         self.assertTrue(self.ledger.get(fingerprint).held)
 
-    def test_server_that_answered_since_has_not_ended_under_the_request(self):
+    def test_server_that_responded_since_has_not_crashed(self):
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
         state = self.directory.get("a")
         state.succeeded()
@@ -218,7 +218,7 @@
 class HedgeQuarantineTest(QuarantineCase):
     """Attempts that were cancelled because another attempt succeeded."""
 
-    def test_server_that_goes_after_another_one_answered_is_no_reason_for_suspicion(self):
+    def test_server_that_disappears_after_a_successful_hedge_is_not_counted(self):
         pools = {name: ScriptedPool(silent) for name in ("a", "b")}
         pools["c"] = ScriptedPool(200)
         self.forward(make_route(target=0.02), pools)
--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_return_time.py
@@ -72,7 +72,7 @@
     def test_retries_are_spread(self):
         self.assertGreater(len({round(wait, 4) for wait in self.estimates()}), DRAWS // 2)
 
-    def test_answer_times_follow_a_server_that_turns_slow(self):
+    def test_average_follows_a_server_that_becomes_slow(self):
         state = self.servers[0]
         state.record_response_time(0.02)
         for _ in range(5):
--- a/tests/gateway/test_routing.py
+++ b/tests/gateway/test_routing.py
@@ -43,7 +43,7 @@
         self.assertIsNone(self.table.match("h", "/p/x"))
         self.assertIsNone(self.table.in_force)
 
-    def test_version_never_goes_back(self):
+    def test_version_never_decreases(self):
         self.assertTrue(self.table.apply(make_configuration(5, make_route("new", "/p/"))))
         self.assertFalse(self.table.apply(make_configuration(4, make_route("old", "/p/"))))
         self.assertFalse(self.table.apply(make_configuration(5, make_route("same", "/p/"))))
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -80,7 +80,7 @@
         self.assertIs(self.state(), before)
         self.assertEqual((before.failures, before.backend.model_versions), (1, {"m": 2}))
 
-    def test_entry_without_a_start_serves_as_before(self):
+    def test_update_without_a_start_keeps_the_state(self):
         self.put(started())
         before = self.state()
         self.put(started(draining=True))
@@ -109,7 +109,7 @@
         self.put(started("1000"))
         self.assertEqual(len(self.ended_states), 1)
 
-    def test_answer_shows_a_new_start_before_the_entry_does(self):
+    def test_response_reveals_a_new_start_before_the_entry(self):
         self.put(started("1000", orders=4, model_versions={"m": 3}))
         before = self.state()
         self.directory.note_reported(before, "2000")
@@ -121,7 +121,7 @@
         self.assertIs(self.state(), present)
         self.assertEqual(present.backend.model_versions, {"m": 1})
 
-    def test_answer_of_an_earlier_start_changes_nothing(self):
+    def test_response_of_a_previous_start_is_ignored(self):
         self.put(started("1000"))
         before = self.state()
         self.put(started("2000"))
@@ -136,13 +136,13 @@
         self.directory.note_reported(before, "1000")
         self.assertIs(self.state(), before)
 
-    def test_server_that_left_and_comes_back_is_new(self):
+    def test_removed_server_that_returns_is_new(self):
         self.put(started("1000"))
         self.directory.remove(NAME)
         self.assertTrue(self.put(started("1000")))
         self.assertEqual(len(self.directory.of_service(SERVICE)), 1)
 
-    def test_start_that_another_node_names(self):
+    def test_find_by_the_name_from_another_node(self):
         self.put(started("1000"))
         self.assertIs(self.directory.find(f"{NAME}@1000"), self.state())
         for other in (f"{NAME}@2000", NAME, "nobody"):
@@ -154,7 +154,7 @@
         self.put(started(orders=1))
         self.assertIs(self.directory.find(NAME), self.state())
 
-    def test_server_that_ended_is_tried_again_after_a_while(self):
+    def test_ended_server_is_retried_after_a_while(self):
         """Guards against a server that restarts without reporting it and never gets work."""
         self.put(started())
         self.state().note_ended()
@@ -179,7 +179,7 @@
         self.accepted.append(sock)
         gevent.sleep(30.0)
 
-    def test_requests_at_the_earlier_start_end_at_once(self):
+    def test_requests_to_the_previous_start_fail_at_once(self):
         state = self.directory.get(NAME)
 
         def send_request():
@@ -211,7 +211,7 @@
         self.directory = BackendDirectory()
         self.directory.put(started("1000"), 1)
 
-    def test_known_server_takes_no_new_work_until_its_entry_can_be_read(self):
+    def test_server_gets_no_work_while_its_entry_is_unreadable(self):
         before = self.directory.get(NAME)
         self.directory.note_unreadable(NAME, "Slots: not a whole number")
         self.assertEqual(self.directory.of_service(SERVICE), [])
@@ -219,7 +219,7 @@
         self.directory.put(started("1000"), 3)
         self.assertEqual(self.directory.of_service(SERVICE), [before])
 
-    def test_entry_that_names_no_known_server_is_remembered_for_operators(self):
+    def test_unreadable_entry_of_an_unknown_server_is_kept_for_operators(self):
         self.directory.note_unreadable("other", "State: missing")
         self.assertEqual(dict(self.directory.unreadable), {"other": "State: missing"})
         self.directory.remove("other")
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -59,14 +59,14 @@
         self.assertEqual(b"".join(stream.body), b"1\n\n2\n\n3\n\n")
         self.assertEqual((self.in_flight(), self.counted), (0, 1))
 
-    def test_resumable_stream_goes_on_after_the_last_whole_event(self):
+    def test_resumable_stream_continues_after_the_last_complete_event(self):
         broken = ScriptedPool(200, [b"1\n\n2\n\n3", lost()])
         pools = {"a": broken, "b": ScriptedPool(200, [b"3\n\n4\n\n"])}
         stream = self.open(make_route(), last=["b"], **pools)
         self.assertEqual(b"".join(stream.body), b"1\n\n2\n\n3\n\n4\n\n")
         self.assertEqual(self.protocol.resumed_after, [None, "2"])
 
-    def test_resumable_stream_that_broke_asks_from_the_last_event(self):
+    def test_stream_that_cannot_resume_is_aborted_after_the_last_complete_event(self):
         pool = ScriptedPool(200, [b"1\n\n2\n\n3", lost()])
         stream = self.open(make_route(attempts=1), a=pool)
         passed = []
@@ -75,38 +75,38 @@
         self.assertEqual(b"".join(passed), b"1\n\n2\n\n")
         self.assertEqual(self.in_flight(), 0)
 
-    def test_event_out_of_order_is_not_passed_on(self):
+    def test_event_out_of_sequence_is_not_relayed(self):
         stream = self.open(make_route(attempts=1), a=ScriptedPool(200, [b"1\n\n3\n\n"]))
         passed = []
         with self.assertRaises(ResponseAbortedError):
             passed.extend(stream.body)
         self.assertEqual(passed, [b"1\n\n"])
 
-    def test_other_stream_is_never_continued(self):
+    def test_non_resumable_stream_is_not_resumed(self):
         pools = {name: ScriptedPool(200, [b"x", lost()]) for name in ("a", "b")}
         stream = self.open(make_route(resumable=False), **pools)
         with self.assertRaises(ResponseAbortedError):
             list(stream.body)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
 
-    def test_refusal_by_all_has_not_run(self):
+    def test_request_refused_by_all_servers_did_not_run(self):
         with self.assertRaises(RunkeelError) as caught:
             self.open(make_route(), a=ScriptedPool(503), b=ScriptedPool(unreachable()))
         self.assertIs(caught.exception.verdict, Verdict.NOT_RUN)
         self.assertEqual((self.in_flight(), self.counted), (0, 0))
 
-    def test_stream_that_may_have_begun_is_not_sent_again_if_it_must_not_repeat(self):
+    def test_non_repeatable_stream_that_may_have_started_is_not_retried(self):
         pools = {name: ScriptedPool(lost()) for name in ("a", "b")}
         with self.assertRaises(RunkeelError) as caught:
             self.open(make_route(resumable=False), **pools)
         self.assertIs(caught.exception.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
 
-    def test_failure_of_the_server_is_passed_on(self):
+    def test_failure_response_is_relayed(self):
         stream = self.open(make_route(attempts=1), a=ScriptedPool(500, [b"why"]))
         self.assertEqual((stream.status, stream.body), (500, b"why"))
 
-    def test_client_that_has_left_gets_no_further_server(self):
+    def test_stream_is_not_resumed_after_a_client_disconnect(self):
         broken = ScriptedPool(200, [b"1\n\n", lost()])
         stream = self.open(make_route(), last=["b"], a=broken, b=ScriptedPool())
         self.gone.set()
