--- a/tests/gateway/scripted_servers.py
+++ b/tests/gateway/scripted_servers.py
@@ -49,9 +49,9 @@
 
     def request(self, outgoing, deadline, accept=None):
         status = self._next(deadline)
-        answer = HttpAnswer(status, [], b"body")
-        accept(answer.status, answer.headers)
-        return answer
+        response = HttpAnswer(status, [], b"body")
+        accept(response.status, response.headers)
+        return response
 
     def open_stream(self, outgoing, deadline):
         return ScriptedStream(self._next(deadline), self._next_chunks())
@@ -113,7 +113,7 @@
     return directory
 
 
-def silent(deadline: float):
+def unresponsive(deadline: float):
     """Don't respond until the deadline."""
     gevent.sleep(max(0.0, deadline - steady_seconds()))
     raise may_have_run(ErrorCode.DEADLINE_EXCEEDED, "silent")
--- a/tests/gateway/starts_machine.py
+++ b/tests/gateway/starts_machine.py
@@ -21,15 +21,15 @@
         super().__init__()
         self.directory = BackendDirectory()
         self.revision = 0
-        self.present = ""
+        self.current = ""
         self.over: set[str] = set()
         self.failures = 0
         self.ended = False
 
-    def _begins(self, start: str) -> None:
-        if start != self.present:
-            self.over.add(self.present)
-            self.present, self.failures, self.ended = start, 0, False
+    def _expect_start(self, start: str) -> None:
+        if start != self.current:
+            self.over.add(self.current)
+            self.current, self.failures, self.ended = start, 0, False
 
     @rule(start=STARTS, draining=st.booleans())
     def entry(self, start, draining):
@@ -38,25 +38,25 @@
         backend = Backend(NAME, "s", address, "z", 8, draining, start=start)
         self.directory.put(backend, self.revision)
         if start not in self.over:
-            self._begins(start)
+            self._expect_start(start)
 
     @rule(start=STARTS)
-    def answer(self, start):
+    def response(self, start):
         state = self.directory.get(NAME)
         if state is None:
             return
         self.directory.note_reported(state, start)
         if start not in self.over:
-            self._begins(start)
+            self._expect_start(start)
 
     @rule()
-    def gone(self):
+    def removal(self):
         self.directory.remove(NAME)
-        self.present, self.failures, self.ended = "", 0, False
+        self.current, self.failures, self.ended = "", 0, False
         self.over.clear()
 
     @rule()
-    def loss(self):
+    def failure(self):
         state = self.directory.get(NAME)
         if state is not None:
             state.failed()
@@ -74,13 +74,13 @@
         self.directory.note_unreadable(NAME, reason)
 
     @invariant()
-    def only_the_present_start_counts(self):
+    def only_the_current_start_counts(self):
         state = self.directory.get(NAME)
-        assert (state is None) == (not self.present)
+        assert (state is None) == (not self.current)
         if state is None:
             assert not self.directory.of_service("s")
             return
-        assert state.backend.start == self.present
+        assert state.backend.start == self.current
         assert state.failures == self.failures
         assert state.avoided(steady_seconds()) == (self.ended or self.failures > 0)
         joined = state in self.directory.of_service("s")
--- a/tests/gateway/test_deferrable_calls.py
+++ b/tests/gateway/test_deferrable_calls.py
@@ -124,7 +124,7 @@
     CALLS = 100
     CALLERS = 40
 
-    def play(self, bounded):
+    def run_burst(self, bounded):
         """Return how many interactive requests found all slots of their server taken."""
         scorers = directory_of()
         calls = DeferrableCalls(scorers) if bounded else None
@@ -157,10 +157,10 @@
         return rejected
 
     def test_interactive_requests_find_slots_during_a_burst(self):
-        self.assertEqual(self.play(bounded=True), 0)
+        self.assertEqual(self.run_burst(bounded=True), 0)
 
     def test_without_the_limit_they_find_none(self):
-        self.assertGreater(self.play(bounded=False), self.CALLERS // 2)
+        self.assertGreater(self.run_burst(bounded=False), self.CALLERS // 2)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_directory_news.py
+++ b/tests/gateway/test_directory_news.py
@@ -11,7 +11,7 @@
 from tests.gateway.test_backends import make_backend
 
 MANY = 300
-SERVICE = "news"
+SERVICE = "batched"
 
 
 class BackendChangeLogTest(unittest.TestCase):
@@ -50,8 +50,8 @@
         self._put("c")
         self.directory.remove("b")
         (line,) = self._logged()
-        self.assertIn("a news", line["draining"][0])
-        self.assertIn("b news", line["gone"][0])
+        self.assertIn("a batched", line["draining"][0])
+        self.assertIn("b batched", line["gone"][0])
         self.assertEqual((line["joined"], line["changed_count"]), ([], 1))
 
     def test_each_line_contains_only_new_changes(self):
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -18,8 +18,8 @@
     after,
     directory_of,
     lost,
-    silent,
     unreachable,
+    unresponsive,
 )
 from tests.open_quarantine import open_quarantine
 
@@ -58,8 +58,8 @@
 
     def test_repeatable_request_is_retried_after_a_lost_response(self):
         first, second = ScriptedPool(lost(), 200), ScriptedPool(200, 200)
-        answer = self.forward(make_route(), a=first, b=second)
-        self.assertEqual(answer.status, 200)
+        response = self.forward(make_route(), a=first, b=second)
+        self.assertEqual(response.status, 200)
         self.assertLessEqual(first.requests + second.requests, 2)
         self.assertEqual(self.counted, 1)
 
@@ -94,13 +94,17 @@
         self.assertEqual(sum(pool.requests for pool in pools.values()), 2)
 
     def test_failure_response_is_returned_if_no_server_succeeds(self):
-        answer = self.forward(make_route(attempts=2), a=ScriptedPool(500), b=ScriptedPool(500))
-        self.assertEqual(answer.status, 500)
+        response = self.forward(make_route(attempts=2), a=ScriptedPool(500), b=ScriptedPool(500))
+        self.assertEqual(response.status, 500)
 
     def test_unresponsive_server_is_hedged_and_the_request_counted_once(self):
-        pools = {"a": ScriptedPool(silent), "b": ScriptedPool(silent), "c": ScriptedPool(200)}
-        answer = self.forward(make_route(target=0.1), **pools)
-        self.assertEqual(answer.status, 200)
+        pools = {
+            "a": ScriptedPool(unresponsive),
+            "b": ScriptedPool(unresponsive),
+            "c": ScriptedPool(200),
+        }
+        response = self.forward(make_route(target=0.1), **pools)
+        self.assertEqual(response.status, 200)
         self.assertEqual(self.counted, 1)
 
     def test_non_repeatable_request_is_not_hedged(self):
@@ -109,14 +113,14 @@
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
 
     def test_deadline_exceeded(self):
-        error = self.failure(make_route(attempts=1), seconds=0.1, a=ScriptedPool(silent))
+        error = self.failure(make_route(attempts=1), seconds=0.1, a=ScriptedPool(unresponsive))
         self.assertIs(error.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(self.counted, 1)
 
     def test_client_disconnect_cancels_the_attempt(self):
         gone = Event()
         gevent.spawn_later(0.05, gone.set)
-        error = self.failure(make_route(attempts=1), 60.0, gone, a=ScriptedPool(silent))
+        error = self.failure(make_route(attempts=1), 60.0, gone, a=ScriptedPool(unresponsive))
         self.assertEqual(error.code, ErrorCode.CANCELLED)
 
     def test_failed_server_is_chosen_last(self):
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -25,8 +25,8 @@
     after,
     directory_of,
     lost,
-    silent,
     unreachable,
+    unresponsive,
 )
 from tests.gateway.test_forwarder import REQUEST, make_route
 from tests.open_quarantine import RETRY_SECONDS, open_quarantine
@@ -152,7 +152,7 @@
         self.assertEqual(len(self.ledger), 0)
 
     def test_unresponsive_server_that_disappears_has_crashed(self):
-        self.failure(make_route(attempts=1), {"a": ScriptedPool(silent)})
+        self.failure(make_route(attempts=1), {"a": ScriptedPool(unresponsive)})
         self.assertEqual(len(self.ledger), 0)
         self.quarantine.ends.backend_gone(self.directory.get("a"))
         self.assertEqual(len(self.ledger), 1)
@@ -162,7 +162,7 @@
         gone = Event()
         gevent.spawn_later(0.05, gone.set)
         with self.assertRaises(RunkeelError):
-            self.forward(make_route(attempts=1), {"a": ScriptedPool(silent)}, gone=gone)
+            self.forward(make_route(attempts=1), {"a": ScriptedPool(unresponsive)}, gone=gone)
         gevent.sleep(0)
         self.quarantine.ends.backend_gone(self.directory.get("a"))
         self.assertEqual(len(self.ledger), 1)
@@ -188,7 +188,7 @@
     def test_connection_lost_after_the_restart_is_known(self):
         """The update of the directory may arrive before the connection closes."""
         fingerprint = self.quarantine.fingerprints.of_plain(REQUEST)
-        self.failure(make_route(attempts=1), {"a": ScriptedPool(silent)})
+        self.failure(make_route(attempts=1), {"a": ScriptedPool(unresponsive)})
         state = self.directory.get("a")
         state.replaced = True
         self.quarantine.ends.judge(
@@ -219,7 +219,7 @@
     """Attempts that were cancelled because another attempt succeeded."""
 
     def test_server_that_disappears_after_a_successful_hedge_is_not_counted(self):
-        pools = {name: ScriptedPool(silent) for name in ("a", "b")}
+        pools = {name: ScriptedPool(unresponsive) for name in ("a", "b")}
         pools["c"] = ScriptedPool(200)
         self.forward(make_route(target=0.02), pools)
         gevent.sleep(0)
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -41,16 +41,16 @@
     def test_restarted_server_is_used_at_once(self):
         """Guards against a restarted server that is avoided forever."""
         self.put(started("1000"))
-        before = self.state()
-        before.note_ended()
+        old_state = self.state()
+        old_state.note_ended()
         for _ in range(50):
-            before.failed()
+            old_state.failed()
         self.put(started("2000"))
         self.assertFalse(self.state().avoided(steady_seconds()))
         self.assertEqual((self.state().failures, self.state().in_flight), (0, 0))
         self.assertEqual(self.directory.of_service(SERVICE), [self.state()])
-        self.assertEqual(self.ended_states, [before])
-        self.assertTrue(before.ended)
+        self.assertEqual(self.ended_states, [old_state])
+        self.assertTrue(old_state.ended)
 
     def test_start_at_an_earlier_time_is_a_new_one(self):
         """The clock of the server's machine may jump back; the entry's revision decides."""
@@ -74,34 +74,34 @@
 
     def test_update_of_the_same_start_keeps_the_state(self):
         self.put(started("1000", orders=1))
-        before = self.state()
-        before.failed()
+        old_state = self.state()
+        old_state.failed()
         self.put(started("1000", orders=5, model_versions={"m": 2}))
-        self.assertIs(self.state(), before)
-        self.assertEqual((before.failures, before.backend.model_versions), (1, {"m": 2}))
+        self.assertIs(self.state(), old_state)
+        self.assertEqual((old_state.failures, old_state.backend.model_versions), (1, {"m": 2}))
 
     def test_update_without_a_start_keeps_the_state(self):
         self.put(started())
-        before = self.state()
+        old_state = self.state()
         self.put(started(draining=True))
-        self.assertIs(self.state(), before)
-        self.assertEqual(before.incarnation, NAME)
+        self.assertIs(self.state(), old_state)
+        self.assertEqual(old_state.incarnation, NAME)
 
     def test_decreasing_count_of_orders_is_a_new_start(self):
         self.put(started(orders=7))
-        before = self.state()
+        old_state = self.state()
         self.put(started(orders=7))
-        self.assertIs(self.state(), before)
+        self.assertIs(self.state(), old_state)
         self.put(started(orders=0))
-        self.assertIsNot(self.state(), before)
-        self.assertNotEqual(self.state().incarnation, before.incarnation)
+        self.assertIsNot(self.state(), old_state)
+        self.assertNotEqual(self.state().incarnation, old_state.incarnation)
 
     def test_other_address_is_a_new_start(self):
         """Guards against connections to the old address, where another server may listen."""
         self.put(started())
-        before = self.state()
+        old_state = self.state()
         self.put(started(address=Address("127.0.0.1", 2)))
-        self.assertIsNot(self.state(), before)
+        self.assertIsNot(self.state(), old_state)
         self.assertEqual(self.state().backend.address.port, 2)
 
     def test_first_reported_start_is_a_new_start(self):
@@ -111,30 +111,30 @@
 
     def test_response_reveals_a_new_start_before_the_entry(self):
         self.put(started("1000", orders=4, model_versions={"m": 3}))
-        before = self.state()
-        self.directory.note_reported(before, "2000")
+        old_state = self.state()
+        self.directory.note_reported(old_state, "2000")
         self.assertEqual(self.state().backend.start, "2000")
         self.assertEqual(self.state().backend.model_versions, {})
         self.assertFalse(self.put(started("1000", orders=4)))
-        present = self.state()
+        current = self.state()
         self.put(started("2000", orders=0, model_versions={"m": 1}))
-        self.assertIs(self.state(), present)
-        self.assertEqual(present.backend.model_versions, {"m": 1})
+        self.assertIs(self.state(), current)
+        self.assertEqual(current.backend.model_versions, {"m": 1})
 
     def test_response_of_a_previous_start_is_ignored(self):
         self.put(started("1000"))
-        before = self.state()
+        old_state = self.state()
         self.put(started("2000"))
-        present = self.state()
-        self.directory.note_reported(before, "1000")
-        self.directory.note_reported(present, "1000")
-        self.assertIs(self.state(), present)
+        current = self.state()
+        self.directory.note_reported(old_state, "1000")
+        self.directory.note_reported(current, "1000")
+        self.assertIs(self.state(), current)
 
     def test_response_is_ignored_if_the_entry_reports_no_start(self):
         self.put(started())
-        before = self.state()
-        self.directory.note_reported(before, "1000")
-        self.assertIs(self.state(), before)
+        old_state = self.state()
+        self.directory.note_reported(old_state, "1000")
+        self.assertIs(self.state(), old_state)
 
     def test_removed_server_that_returns_is_new(self):
         self.put(started("1000"))
@@ -212,12 +212,12 @@
         self.directory.put(started("1000"), 1)
 
     def test_server_gets_no_work_while_its_entry_is_unreadable(self):
-        before = self.directory.get(NAME)
+        old_state = self.directory.get(NAME)
         self.directory.note_unreadable(NAME, "Slots: not a whole number")
         self.assertEqual(self.directory.of_service(SERVICE), [])
-        self.assertFalse(before.replaced)
+        self.assertFalse(old_state.replaced)
         self.directory.put(started("1000"), 3)
-        self.assertEqual(self.directory.of_service(SERVICE), [before])
+        self.assertEqual(self.directory.of_service(SERVICE), [old_state])
 
     def test_unreadable_entry_of_an_unknown_server_is_kept_for_operators(self):
         self.directory.note_unreadable("other", "State: missing")
--- a/tests/gateway/test_starts_fuzz.py
+++ b/tests/gateway/test_starts_fuzz.py
@@ -16,7 +16,7 @@
 
 
 class StartsFuzzTest(unittest.TestCase):
-    def test_only_the_present_start_counts(self):
+    def test_only_the_current_start_counts(self):
         run_state_machine_as_test(StartsMachine, settings=OPTIONS)
 
     def test_keeping_the_state_of_a_previous_start_is_detected(self):
@@ -26,12 +26,12 @@
     def test_accepting_an_update_of_a_previous_start_is_detected(self):
         settle = ServerStarts.settle
 
-        def forgetful(starts, backend, revision):
+        def settle_without_history(starts, backend, revision):
             for known in starts._known.values():
                 known.previous.clear()
             return settle(starts, backend, revision)
 
-        with mock.patch.object(ServerStarts, "settle", forgetful):
+        with mock.patch.object(ServerStarts, "settle", settle_without_history):
             self.assertIsNotNone(find_violation(StartsMachine, FEW))
 
 
