--- a/tests/gateway/test_burst.py
+++ b/tests/gateway/test_burst.py
@@ -1,7 +1,6 @@
-"""Requests that come to one node at one moment are spread over the servers.
+"""Simultaneous requests at one node are spread over all servers.
 
-Forty at once, three servers in the node's zone and seven elsewhere, six places each. Most at one
-server: 14 to 18 before, all at the zone's three; 4 since.
+Guards against overloading the servers of the node's own zone while others are idle.
 """
 
 import unittest
@@ -46,17 +45,17 @@
         deadline = steady_seconds() + 10.0
         return self.forwarder.forward(request, make_route(attempts=1), SERVICE, deadline)
 
-    def test_requests_of_one_moment_are_spread(self):
+    def test_simultaneous_requests_are_spread(self):
         tasks = [gevent.spawn(self.send, number) for number in range(REQUESTS)]
         gevent.joinall(tasks, raise_error=True)
         self.assertLessEqual(max(pool.requests for pool in self.pools), SLOTS)
         self.assertEqual(sum(pool.requests for pool in self.pools), REQUESTS)
 
-    def test_servers_are_free_again_afterwards(self):
+    def test_slots_are_released_afterwards(self):
         gevent.joinall([gevent.spawn(self.send, number) for number in range(REQUESTS)])
         self.assertEqual({one.in_flight for one in self.directory.all()}, {0})
 
-    def test_requests_that_are_ended_before_they_begin_take_no_place(self):
+    def test_requests_killed_before_they_start_take_no_slot(self):
         tasks = [gevent.spawn(self.send, number) for number in range(REQUESTS)]
         gevent.sleep(0)
         gevent.killall(tasks)
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -1,4 +1,4 @@
-"""A server that starts again under its id: nothing of a start is taken for the next one."""
+"""Servers that restart under the same id: no state of an incarnation is applied to the next."""
 
 import unittest
 from unittest import mock
@@ -12,8 +12,8 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway import backends
-from runkeel.gateway.backends import MAXIMUM_UNREADABLE, BackendDirectory
-from runkeel.gateway.server_starts import EARLIER_STARTS
+from runkeel.gateway.backends import MAX_UNREADABLE_ENTRIES, BackendDirectory
+from runkeel.gateway.server_starts import MAX_PREVIOUS_STARTS
 
 SERVICE = "ledger"
 ADDRESS = Address("127.0.0.1", 1)
@@ -27,8 +27,8 @@
 class ServerStartsTest(unittest.TestCase):
     def setUp(self):
         self.directory = BackendDirectory()
-        self.over = []
-        self.directory.on_end(self.over.append)
+        self.ended_states = []
+        self.directory.on_end(self.ended_states.append)
         self.revision = 0
 
     def put(self, backend):
@@ -38,133 +38,133 @@
     def state(self):
         return self.directory.get(NAME)
 
-    def test_ended_server_that_comes_back_under_its_id_is_used_at_once(self):
-        """Before, it stayed avoided for good: only an answer cleared it, and none was asked."""
+    def test_restarted_server_is_used_at_once(self):
+        """Guards against a restarted server that is avoided forever."""
         self.put(started("1000"))
-        before = self.state()
-        before.note_ended()
+        old_state = self.state()
+        old_state.note_ended()
         for _ in range(50):
-            before.failed()
+            old_state.failed()
         self.put(started("2000"))
         self.assertFalse(self.state().avoided(steady_seconds()))
         self.assertEqual((self.state().failures, self.state().in_flight), (0, 0))
         self.assertEqual(self.directory.of_service(SERVICE), [self.state()])
-        self.assertEqual(self.over, [before])
-        self.assertTrue(before.ended)
+        self.assertEqual(self.ended_states, [old_state])
+        self.assertTrue(old_state.ended)
 
     def test_start_at_an_earlier_time_is_a_new_one(self):
-        """The clock of the server's machine may have jumped back; the entry's revision decides."""
+        """The clock of the server's machine may jump back; the entry's revision decides."""
         self.put(started("2000"))
         self.put(started("1000"))
         self.assertEqual(self.state().backend.start, "1000")
 
-    def test_late_news_of_an_earlier_start_is_passed_over(self):
+    def test_late_update_of_a_previous_start_is_ignored(self):
         self.put(started("1000"))
         self.put(started("2000"))
         self.assertFalse(self.put(started("1000", draining=True)))
         self.assertEqual(self.state().backend.start, "2000")
         self.assertTrue(self.state().backend.takes_work)
-        self.assertEqual(len(self.over), 1)
+        self.assertEqual(len(self.ended_states), 1)
 
-    def test_earlier_starts_are_remembered_in_a_bounded_number(self):
-        for number in range(3 * EARLIER_STARTS):
+    def test_number_of_previous_starts_is_bounded(self):
+        for number in range(3 * MAX_PREVIOUS_STARTS):
             self.put(started(str(1000 + number)))
         known = self.directory._starts._known[NAME]
-        self.assertEqual(len(known.earlier), EARLIER_STARTS)
+        self.assertEqual(len(known.previous), MAX_PREVIOUS_STARTS)
 
-    def test_news_of_the_same_start_keeps_what_is_known(self):
+    def test_update_of_the_same_start_keeps_the_state(self):
         self.put(started("1000", orders=1))
-        before = self.state()
-        before.failed()
+        old_state = self.state()
+        old_state.failed()
         self.put(started("1000", orders=5, model_versions={"m": 2}))
-        self.assertIs(self.state(), before)
-        self.assertEqual((before.failures, before.backend.model_versions), (1, {"m": 2}))
+        self.assertIs(self.state(), old_state)
+        self.assertEqual((old_state.failures, old_state.backend.model_versions), (1, {"m": 2}))
 
-    def test_entry_without_a_start_serves_as_before(self):
+    def test_update_without_a_start_keeps_the_state(self):
         self.put(started())
-        before = self.state()
+        old_state = self.state()
         self.put(started(draining=True))
-        self.assertIs(self.state(), before)
-        self.assertEqual(before.incarnation, NAME)
+        self.assertIs(self.state(), old_state)
+        self.assertEqual(old_state.incarnation, NAME)
 
-    def test_count_of_orders_that_goes_back_is_a_new_start(self):
+    def test_decreasing_count_of_orders_is_a_new_start(self):
         self.put(started(orders=7))
-        before = self.state()
+        old_state = self.state()
         self.put(started(orders=7))
-        self.assertIs(self.state(), before)
+        self.assertIs(self.state(), old_state)
         self.put(started(orders=0))
-        self.assertIsNot(self.state(), before)
-        self.assertNotEqual(self.state().incarnation, before.incarnation)
+        self.assertIsNot(self.state(), old_state)
+        self.assertNotEqual(self.state().incarnation, old_state.incarnation)
 
     def test_other_address_is_a_new_start(self):
-        """Its connections go to the address before, where nobody or somebody else listens."""
+        """Guards against connections to the old address, where another server may listen."""
         self.put(started())
-        before = self.state()
+        old_state = self.state()
         self.put(started(address=Address("127.0.0.1", 2)))
-        self.assertIsNot(self.state(), before)
+        self.assertIsNot(self.state(), old_state)
         self.assertEqual(self.state().backend.address.port, 2)
 
-    def test_server_that_begins_to_tell_its_start_has_started_anew(self):
+    def test_first_reported_start_is_a_new_start(self):
         self.put(started())
         self.put(started("1000"))
-        self.assertEqual(len(self.over), 1)
+        self.assertEqual(len(self.ended_states), 1)
 
-    def test_answer_shows_a_new_start_before_the_entry_does(self):
+    def test_response_reveals_a_new_start_before_the_entry(self):
         self.put(started("1000", orders=4, model_versions={"m": 3}))
-        before = self.state()
-        self.directory.note_reported(before, "2000")
+        old_state = self.state()
+        self.directory.note_reported(old_state, "2000")
         self.assertEqual(self.state().backend.start, "2000")
         self.assertEqual(self.state().backend.model_versions, {})
         self.assertFalse(self.put(started("1000", orders=4)))
-        present = self.state()
+        current = self.state()
         self.put(started("2000", orders=0, model_versions={"m": 1}))
-        self.assertIs(self.state(), present)
-        self.assertEqual(present.backend.model_versions, {"m": 1})
+        self.assertIs(self.state(), current)
+        self.assertEqual(current.backend.model_versions, {"m": 1})
 
-    def test_answer_of_an_earlier_start_changes_nothing(self):
+    def test_response_of_a_previous_start_is_ignored(self):
         self.put(started("1000"))
-        before = self.state()
+        old_state = self.state()
         self.put(started("2000"))
-        present = self.state()
-        self.directory.note_reported(before, "1000")
-        self.directory.note_reported(present, "1000")
-        self.assertIs(self.state(), present)
+        current = self.state()
+        self.directory.note_reported(old_state, "1000")
+        self.directory.note_reported(current, "1000")
+        self.assertIs(self.state(), current)
 
-    def test_answer_tells_nothing_where_the_entry_says_nothing(self):
+    def test_response_is_ignored_if_the_entry_reports_no_start(self):
         self.put(started())
-        before = self.state()
-        self.directory.note_reported(before, "1000")
-        self.assertIs(self.state(), before)
+        old_state = self.state()
+        self.directory.note_reported(old_state, "1000")
+        self.assertIs(self.state(), old_state)
 
-    def test_server_that_left_and_comes_back_is_new(self):
+    def test_removed_server_that_returns_is_new(self):
         self.put(started("1000"))
         self.directory.remove(NAME)
         self.assertTrue(self.put(started("1000")))
         self.assertEqual(len(self.directory.of_service(SERVICE)), 1)
 
-    def test_start_that_another_node_names(self):
+    def test_find_by_the_name_from_another_node(self):
         self.put(started("1000"))
         self.assertIs(self.directory.find(f"{NAME}@1000"), self.state())
         for other in (f"{NAME}@2000", NAME, "nobody"):
             self.assertIsNone(self.directory.find(other), other)
 
-    def test_start_that_only_counts_showed_may_be_named_otherwise_elsewhere(self):
+    def test_inferred_start_may_have_another_name_at_another_node(self):
         self.put(started(orders=2))
         self.assertIs(self.directory.find(f"{NAME}@r17"), self.state())
         self.put(started(orders=1))
         self.assertIs(self.directory.find(NAME), self.state())
 
-    def test_server_that_ended_is_tried_again_after_a_while(self):
-        """One that came back without saying so got no work for good."""
+    def test_ended_server_is_retried_after_a_while(self):
+        """Guards against a server that restarts without reporting it and never gets work."""
         self.put(started())
         self.state().note_ended()
         self.assertTrue(self.state().avoided(steady_seconds()))
-        with mock.patch.object(backends, "ENDED_SECONDS", 0.0):
+        with mock.patch.object(backends, "ENDED_RETRY_SECONDS", 0.0):
             self.assertFalse(self.state().avoided(steady_seconds()))
 
 
 class WaitingRequestsTest(unittest.TestCase):
-    """A machine that lost power says nothing: who waits for it is told by its next start."""
+    """Requests to a machine that lost power fail once its next incarnation is known."""
 
     def setUp(self):
         self.accepted = []
@@ -179,25 +179,25 @@
         self.accepted.append(sock)
         gevent.sleep(30.0)
 
-    def test_requests_at_the_earlier_start_end_at_once(self):
+    def test_requests_to_the_previous_start_fail_at_once(self):
         state = self.directory.get(NAME)
 
-        def ask():
+        def send_request():
             try:
                 state.pool.request(OutgoingRequest("GET", "/"), steady_seconds() + 20.0)
             except RunkeelError as error:
                 return error
             return None
 
-        asking = [gevent.spawn(ask) for _ in range(3)]
+        requests = [gevent.spawn(send_request) for _ in range(3)]
         with gevent.Timeout(10.0):
             while len(self.accepted) < 3:
                 gevent.sleep(0.01)
             self.directory.put(started("2000", address=self.address), 2)
-            gevent.joinall(asking)
-        self.assertEqual([task.value.verdict for task in asking], [Verdict.MAY_HAVE_RUN] * 3)
+            gevent.joinall(requests)
+        self.assertEqual([task.value.verdict for task in requests], [Verdict.MAY_HAVE_RUN] * 3)
 
-    def test_nothing_more_is_sent_by_who_still_holds_the_earlier_start(self):
+    def test_no_request_is_sent_through_a_replaced_state(self):
         state = self.directory.get(NAME)
         self.directory.put(started("2000", address=self.address), 2)
         with self.assertRaises(RunkeelError) as caught:
@@ -211,24 +211,24 @@
         self.directory = BackendDirectory()
         self.directory.put(started("1000"), 1)
 
-    def test_known_server_takes_no_new_work_until_its_entry_can_be_read(self):
-        before = self.directory.get(NAME)
+    def test_server_gets_no_work_while_its_entry_is_unreadable(self):
+        old_state = self.directory.get(NAME)
         self.directory.note_unreadable(NAME, "Slots: not a whole number")
         self.assertEqual(self.directory.of_service(SERVICE), [])
-        self.assertFalse(before.replaced)
+        self.assertFalse(old_state.replaced)
         self.directory.put(started("1000"), 3)
-        self.assertEqual(self.directory.of_service(SERVICE), [before])
+        self.assertEqual(self.directory.of_service(SERVICE), [old_state])
 
-    def test_entry_that_names_no_known_server_is_remembered_for_operators(self):
+    def test_unreadable_entry_of_an_unknown_server_is_kept_for_operators(self):
         self.directory.note_unreadable("other", "State: missing")
         self.assertEqual(dict(self.directory.unreadable), {"other": "State: missing"})
         self.directory.remove("other")
         self.assertFalse(self.directory.unreadable)
 
-    def test_entries_without_end_are_remembered_in_a_bounded_number(self):
-        for number in range(MAXIMUM_UNREADABLE + 10):
+    def test_number_of_unreadable_entries_is_bounded(self):
+        for number in range(MAX_UNREADABLE_ENTRIES + 10):
             self.directory.note_unreadable(f"other-{number}", "State: missing")
-        self.assertEqual(len(self.directory.unreadable), MAXIMUM_UNREADABLE)
+        self.assertEqual(len(self.directory.unreadable), MAX_UNREADABLE_ENTRIES)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Relayed streams: opened, continued elsewhere, broken off."""
+"""Opening, resuming and aborting relayed streams."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway.streams import StreamForwarder
-from runkeel.http.frontend import AnswerBrokenOffError
+from runkeel.http.frontend import ResponseAbortedError
 from runkeel.usage.meter import UsageMeter
 from tests.gateway.scripted_servers import (
     SERVICE,
@@ -38,7 +38,7 @@
         self.gone = Event()
 
     def open(self, route, last=(), **pools):
-        """Open a stream; servers named last are chosen after all others."""
+        """Open a stream; the servers in ``last`` are chosen after all others."""
         self.directory = directory_of(**pools)
         for name in last:
             self.directory.get(name).failed()
@@ -54,63 +54,63 @@
     def in_flight(self):
         return sum(state.in_flight for state in self.directory.all())
 
-    def test_events_are_passed_on_and_the_place_given_back(self):
+    def test_events_are_relayed_and_the_slot_is_released(self):
         stream = self.open(make_route(), a=ScriptedPool(200, [b"1\n\n2\n", b"\n3\n\n"]))
         self.assertEqual(b"".join(stream.body), b"1\n\n2\n\n3\n\n")
         self.assertEqual((self.in_flight(), self.counted), (0, 1))
 
-    def test_resumable_stream_goes_on_after_the_last_whole_event(self):
+    def test_resumable_stream_continues_after_the_last_complete_event(self):
         broken = ScriptedPool(200, [b"1\n\n2\n\n3", lost()])
         pools = {"a": broken, "b": ScriptedPool(200, [b"3\n\n4\n\n"])}
         stream = self.open(make_route(), last=["b"], **pools)
         self.assertEqual(b"".join(stream.body), b"1\n\n2\n\n3\n\n4\n\n")
         self.assertEqual(self.protocol.resumed_after, [None, "2"])
 
-    def test_resumable_stream_that_broke_asks_from_the_last_event(self):
+    def test_stream_that_cannot_resume_is_aborted_after_the_last_complete_event(self):
         pool = ScriptedPool(200, [b"1\n\n2\n\n3", lost()])
         stream = self.open(make_route(attempts=1), a=pool)
         passed = []
-        with self.assertRaises(AnswerBrokenOffError):
+        with self.assertRaises(ResponseAbortedError):
             passed.extend(stream.body)
         self.assertEqual(b"".join(passed), b"1\n\n2\n\n")
         self.assertEqual(self.in_flight(), 0)
 
-    def test_event_out_of_order_is_not_passed_on(self):
+    def test_event_out_of_sequence_is_not_relayed(self):
         stream = self.open(make_route(attempts=1), a=ScriptedPool(200, [b"1\n\n3\n\n"]))
         passed = []
-        with self.assertRaises(AnswerBrokenOffError):
+        with self.assertRaises(ResponseAbortedError):
             passed.extend(stream.body)
         self.assertEqual(passed, [b"1\n\n"])
 
-    def test_other_stream_is_never_continued(self):
+    def test_non_resumable_stream_is_not_resumed(self):
         pools = {name: ScriptedPool(200, [b"x", lost()]) for name in ("a", "b")}
         stream = self.open(make_route(resumable=False), **pools)
-        with self.assertRaises(AnswerBrokenOffError):
+        with self.assertRaises(ResponseAbortedError):
             list(stream.body)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
 
-    def test_refusal_by_all_has_not_run(self):
+    def test_request_refused_by_all_servers_did_not_run(self):
         with self.assertRaises(RunkeelError) as caught:
             self.open(make_route(), a=ScriptedPool(503), b=ScriptedPool(unreachable()))
         self.assertIs(caught.exception.verdict, Verdict.NOT_RUN)
         self.assertEqual((self.in_flight(), self.counted), (0, 0))
 
-    def test_stream_that_may_have_begun_is_not_sent_again_if_it_must_not_repeat(self):
+    def test_non_repeatable_stream_that_may_have_started_is_not_retried(self):
         pools = {name: ScriptedPool(lost()) for name in ("a", "b")}
         with self.assertRaises(RunkeelError) as caught:
             self.open(make_route(resumable=False), **pools)
         self.assertIs(caught.exception.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
 
-    def test_failure_of_the_server_is_passed_on(self):
+    def test_failure_response_is_relayed(self):
         stream = self.open(make_route(attempts=1), a=ScriptedPool(500, [b"why"]))
         self.assertEqual((stream.status, stream.body), (500, b"why"))
 
-    def test_client_that_has_left_gets_no_further_server(self):
+    def test_stream_is_not_resumed_after_a_client_disconnect(self):
         broken = ScriptedPool(200, [b"1\n\n", lost()])
         stream = self.open(make_route(), last=["b"], a=broken, b=ScriptedPool())
         self.gone.set()
-        with self.assertRaises(AnswerBrokenOffError):
+        with self.assertRaises(ResponseAbortedError):
             list(stream.body)
         self.assertEqual(self.directory.get("b").pool.requests, 0)
 
