--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -1,4 +1,4 @@
-"""Runs one generation at one engine, from its start or from where an earlier run broke off."""
+"""Runs one generation on one engine, from the beginning or resuming an earlier run."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from runkeel.gateway.event_order import follows
 from runkeel.quarantine.quarantine import WatchedRequest
 
-FIRST_EVENT_SECONDS = 2.0
-"""A run without a first event for so long is given up. Chosen, not measured."""
+RESPONSE_TIMEOUT_SECONDS = 2.0
+"""Time limit for the start of the response."""
 
-STALL_SECONDS = 1.2
-"""A run without a further event for so long is given up. Chosen, not measured."""
+STALL_TIMEOUT_SECONDS = 1.2
+"""Longest gap between two events; for the first event, since the start of the run."""
 
-LOADING_STALL_SECONDS = 4.0
-"""A stream may pause for so long while its engine loads a version."""
+LOADING_STALL_TIMEOUT_SECONDS = 4.0
+"""Longest gap between two events while the engine is loading a version."""
 
 _UNPROCESSABLE = 422
 _generations = itertools.count(1)
@@ -33,30 +33,30 @@
 
     COMPLETE = "complete"
     BROKEN = "broken"
-    """The engine or the connection broke off; what was received stands."""
+    """The engine or the connection failed midway; events received so far remain valid."""
     REFUSED = "refused"
-    """The engine did not run it."""
+    """The engine rejected the request without running it."""
     UNREACHABLE = "unreachable"
-    """No connection to the engine came about, so it did not run it."""
+    """The connection could not be established, so the engine did not run it."""
     FAILED = "failed"
-    """The engine ran it and answered that it failed."""
+    """The engine ran it and reported a failure."""
     IMPOSSIBLE = "impossible"
-    """The engine says that it can never be done."""
+    """The engine rejected the request as unprocessable; retrying cannot succeed."""
     MOVED = "moved"
-    """Ended on purpose, to be continued at another engine."""
+    """Aborted by the scheduler, to be resumed on another engine."""
     OLD_VERSION = "old_version"
-    """The engine's weights are older than the job allows."""
+    """The weight version is not allowed: too old, or mixed where one version is required."""
 
 
 @dataclass(slots=True)
 class PartialText:
-    """What has been received of a generation.
+    """Output received so far for a generation.
 
     Attributes:
-        versions: weight versions that made events of the text, in order of appearance.
-        whole: the generation's end was received.
-        generation: tells apart all texts of this process, and each from what it was before it was
-            started anew.
+        pieces: data of the events received.
+        versions: weight versions that generated the events, in order of appearance.
+        whole: the end of the generation was received.
+        generation: unique within the process; changes when the output is cleared.
     """
 
     pieces: list[str] = field(default_factory=list)
@@ -66,7 +66,7 @@
     generation: int = field(default_factory=lambda: next(_generations))
 
     def clear(self) -> None:
-        """Forget everything, to start again."""
+        """Discard everything, to restart from the beginning."""
         self.pieces.clear()
         self.versions.clear()
         self.last_event_id = None
@@ -75,24 +75,25 @@
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Order among texts of one item: those of newer weights first, then the longest."""
+        """Sort key among outputs of one item; larger is better: newer weights, then more events."""
         return min(self.versions, default=0), len(self.pieces)
 
     def fits(self, minimum_version: int, single_version: bool) -> bool:
-        """Return whether the text may be used where these versions are allowed."""
+        """Return whether the output complies with a job's restrictions on weight versions."""
         if any(version < minimum_version for version in self.versions):
             return False
         return not single_version or len(self.versions) <= 1
 
 
 class GenerationRun:
-    """One run; its text grows as events arrive.
+    """One run; appends events to a partial output as they arrive.
 
     Args:
-        watched: tells whether the engine ended under the request.
-        partial: text of earlier runs, continued in place.
-        minimum_version: oldest version that may make an event.
-        loading: tells whether the engine is loading a version, so that a pause is expected.
+        watched: records whether the engine crashed under the request.
+        partial: output of earlier runs, extended in place.
+        minimum_version: oldest weight version allowed.
+        single_version: all events must come from one weight version.
+        loading: returns whether the engine is loading a version, which pauses its streams.
     """
 
     def __init__(
@@ -122,18 +123,18 @@
         self._moved = False
 
     def move_away(self) -> None:
-        """End the run; its outcome is MOVED."""
+        """Abort the run; its outcome is MOVED."""
         self._moved = True
         if self._stream is not None:
             self._stream.abort()
 
     def run(self, deadline: float) -> RunOutcome:
-        """Run until the end; see :class:`RunOutcome`."""
+        """Run to completion or until the deadline, a steady clock time in seconds."""
         remaining = deadline - steady_seconds()
         outgoing = self._protocol.encode_generation(self._request, self._state.backend, remaining)
         self.last_event_at = steady_seconds()
         try:
-            first_deadline = min(deadline, steady_seconds() + FIRST_EVENT_SECONDS)
+            first_deadline = min(deadline, steady_seconds() + RESPONSE_TIMEOUT_SECONDS)
             stream = self._state.pool.open_stream(outgoing, first_deadline)
         except RunkeelError as error:
             self.detail = error.detail
@@ -170,7 +171,7 @@
     def _drain_failure(self, stream: HttpAnswerStream, answer_class: AnswerClass) -> RunOutcome:
         self.detail = f"status {stream.status}"
         try:
-            for _ in stream.chunks(steady_seconds() + STALL_SECONDS):
+            for _ in stream.chunks(steady_seconds() + STALL_TIMEOUT_SECONDS):
                 pass
         except RunkeelError as error:
             self.detail += f", {error.detail}"
@@ -186,7 +187,7 @@
             buffer += chunk
             *blocks, buffer = buffer.split(b"\n\n")
             for block in blocks:
-                version = self._take(block, version)
+                version = self._append_event(block, version)
                 if version < 0:
                     return RunOutcome.OLD_VERSION
         self._partial.whole = True
@@ -195,28 +196,30 @@
         return RunOutcome.COMPLETE
 
     def _next_chunk(self, stream: HttpAnswerStream, deadline: float) -> bytes | None:
-        """Return the next bytes. Raises RunkeelError when the engine has stalled."""
+        """Return the next bytes; None at the end. Raises RunkeelError when the engine stalls."""
         while True:
-            limit = LOADING_STALL_SECONDS if self.loading() else STALL_SECONDS
-            patience = min(deadline, self.last_event_at + limit)
+            limit = LOADING_STALL_TIMEOUT_SECONDS if self.loading() else STALL_TIMEOUT_SECONDS
+            read_deadline = min(deadline, self.last_event_at + limit)
             try:
-                return stream.read_chunk(patience)
+                return stream.read_chunk(read_deadline)
             except RunkeelError as error:
                 timed_out = error.code is ErrorCode.DEADLINE_EXCEEDED
                 if not timed_out or steady_seconds() >= deadline or not self.loading():
                     raise
-                if steady_seconds() >= self.last_event_at + LOADING_STALL_SECONDS:
+                if steady_seconds() >= self.last_event_at + LOADING_STALL_TIMEOUT_SECONDS:
                     raise
 
-    def _take(self, block: bytes, version: int) -> int:
-        """Add one event; returns the version in force, or -1 when it isn't allowed."""
+    def _append_event(self, block: bytes, version: int) -> int:
+        """Append one event; returns the current weight version, -1 if it is not allowed."""
         event = self._protocol.parse_event(block)
         version = event.version or version
         if not event.has_data:
             return version
         if not follows(self._partial.last_event_id, event.event_id):
             last = self._partial.last_event_id
-            raise may_have_run(ErrorCode.BACKEND_LOST, f"event {event.event_id} after {last}")
+            raise may_have_run(
+                ErrorCode.BACKEND_LOST, f"event out of order: {event.event_id} after {last}"
+            )
         versions = self._partial.versions
         if version and version < self._minimum_version:
             return -1
--- a/src/runkeel/jobs/item_queue.py
+++ b/src/runkeel/jobs/item_queue.py
@@ -106,7 +106,7 @@
         self._entries[task.key] = number
         self._by_item[task.key[1]] = task
         self._by_job.setdefault(task.key[0], {})[task.key] = task
-        if task.partial.whole or task.next_engine is not None:
+        if task.partial.whole or task.reserved_engine is not None:
             self._valid[number] = task, None
             self._ready[task.key] = task
         elif task.not_before > steady_seconds():
@@ -140,12 +140,12 @@
             self.remove(task)
         self._resting.clear()
 
-    def arrange_anew(self) -> None:
+    def rebuild_lanes(self) -> None:
         """Put all items into the lanes of the configuration in force."""
         for task in self.tasks():
             self.put(task)
 
-    def wake_rested(self, now: float) -> None:
+    def requeue_delayed(self, now: float) -> None:
         """Let items that had to rest take their place."""
         while self._resting and self._resting[0][0] <= now:
             _, number = heapq.heappop(self._resting)
@@ -153,7 +153,7 @@
             if known is not None:
                 self.put(known[0])
 
-    def next_rested_at(self) -> float | None:
+    def next_delay_end(self) -> float | None:
         """Return when the next item has rested; None: none rests."""
         while self._resting and self._resting[0][1] not in self._valid:
             heapq.heappop(self._resting)
@@ -187,6 +187,6 @@
             lane = Lane(rank, task.state.job.submitted_at, service)
             self._lanes[key] = lane
         lane.count += 1
-        entry = _Entry(not task.carried, -self._length_of(task), number, task)
+        entry = _Entry(not task.resumed, -self._length_of(task), number, task)
         heapq.heappush(lane.entries, entry)
         self._valid[number] = task, key
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -1,4 +1,4 @@
-"""Runs one item at the engine that was chosen for it, and has its text scored."""
+"""Runs an item on the engine chosen for it and has its output scored."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 from runkeel.wire.generated.common.ttypes import HttpHeader
 from runkeel.wire.generated.jobs.ttypes import ItemRunStart, ItemScorer
 
-LEAST_RUN_SECONDS = 0.1
-"""A run is given so long at least; its deadline may have passed while it waited for an engine."""
+MIN_RUN_SECONDS = 0.1
+"""Lower bound of a run's time limit, as its deadline may pass while it waits for an engine."""
 
-HELD_CHECK_SECONDS = (0.25, 5.0)
-"""Shortest and longest pause before it is looked again whether an item is still held back."""
+QUARANTINE_RETRY_SECONDS = (0.25, 5.0)
+"""Bounds of the delay before the quarantine is asked again about a withheld item."""
 
-LEAST_URGENT = 9
-"""The largest priority class that engines know."""
+LOWEST_PRIORITY = 9
+"""Largest priority value that engines accept; larger values are less urgent."""
 
 
 class ItemRunner:
-    """Runs items here, or has other nodes run them.
+    """Runs items on this node or delegates them to other nodes.
 
     Args:
-        is_loading: tells whether an engine is loading a version of a model.
-        quarantine: keeps items that crash engines away from further ones.
-        runners: other nodes that run items; None: there are none.
+        is_loading: returns whether an engine is loading a version of a model.
+        quarantine: withholds items that crash engines.
+        runners: other nodes that run items; None: this node runs all items.
     """
 
     def __init__(
@@ -60,18 +60,18 @@
         self._runners = runners
 
     def note_open(self, items: int) -> None:
-        """Take how many items wait or run, so that other nodes are asked in time."""
+        """Set the number of queued and running items, from which the need for runners follows."""
         if self._runners is not None:
             self._runners.note_open(items)
 
     def goes_on(self, item_id: str) -> bool:
-        """Return whether an earlier run of an item may still be going on at another node."""
+        """Return whether an earlier run of an item may still be in flight at another node."""
         return self._runners is not None and self._runners.goes_on(item_id)
 
-    def seconds_held(self, task: ItemTask, service: str) -> float:
-        """Return how long an item is to wait since engines ended under it; 0: it may run now.
+    def quarantine_delay_seconds(self, task: ItemTask, service: str) -> float:
+        """Return the delay in seconds until a quarantined item may be retried; 0: it may run now.
 
-        One that is held back may run once if the trial is granted, which is asked for by this.
+        Requests a trial for a withheld item; if granted, the item may run once.
         """
         if not len(self._quarantine.ledger):
             return 0.0
@@ -81,7 +81,7 @@
         answer = watched.ask_trial()
         if answer.granted:
             return 0.0
-        shortest, longest = HELD_CHECK_SECONDS
+        shortest, longest = QUARANTINE_RETRY_SECONDS
         return max(shortest, min(longest, answer.retry_after_seconds))
 
     def _watched(self, task: ItemTask, service: str) -> WatchedRequest:
@@ -99,14 +99,14 @@
 
     @property
     def has_room(self) -> bool:
-        """Whether one more run would be read in time."""
+        """Whether there is capacity to read one more run in time."""
         return self._runners is None or self._runners.has_room
 
     def generate(self, task: ItemTask, route: Route) -> RunOutcome:
-        """Run an item at its engine; the text grows in the task."""
+        """Run an item on its engine; its events are appended to ``task.partial``."""
         resumed_after = task.partial.last_event_id
         started = steady_seconds()
-        deadline = started + _seconds_left(task, route)
+        deadline = started + _remaining_seconds(task, route)
         runner = self._runners.runner_for(task.engine) if self._runners is not None else None
         if runner is not None:
             run = self._remote_run(task, route, runner)
@@ -119,7 +119,7 @@
             task.run = None
         if isinstance(run, RemoteRun) and outcome is RunOutcome.COMPLETE:
             task.score, task.scoring_problem = run.score, run.scoring_problem
-        _judge(task.engine, outcome)
+        _record_engine_outcome(task.engine, outcome)
         ITEM_RUNS.labels(outcome.value).inc()
         logger.info(
             "item run ended",
@@ -138,19 +138,19 @@
         return outcome
 
     def score(self, task: ItemTask, route: Route) -> ItemResult | None:
-        """Have a whole text scored; returns the result to be listed, None if it must wait."""
+        """Score a complete output; returns None if no scorer answered before the deadline."""
         score = task.score
         if task.scoring_problem:
-            return given_up(task, f"scoring: {task.scoring_problem}")
+            return failed_result(task, f"scoring: {task.scoring_problem}")
         if task.item.scorer is not None and not score:
-            deadline = steady_seconds() + _seconds_left(task, route)
+            deadline = steady_seconds() + _remaining_seconds(task, route)
             try:
                 score = self._scorer.score(task.item.scorer, deadline)
             except ScoringFailedError as error:
-                return given_up(task, f"scoring: {error}")
+                return failed_result(task, f"scoring: {error}")
             except ScoringUnfinishedError as error:
                 logger.info(
-                    "text not scored yet",
+                    "scoring unfinished; retrying later",
                     code="score",
                     request=task.item.item_id,
                     job=task.state.job.job_id,
@@ -219,14 +219,14 @@
         return self._runners.new_run(runner, start, task.partial, self._loading(task))
 
     def _take_trial(self, task: ItemTask) -> bool:
-        """Return whether a run is a trial; what comes of it is noted by the node that runs it."""
+        """Return whether a run is a trial, whose outcome the node that runs it records."""
         on_trial = task.watched is not None and task.watched.on_trial
         if on_trial:
             task.watched.note_reached()
         return on_trial
 
     def _urgency(self, task: ItemTask, route: Route) -> int:
-        return min(LEAST_URGENT, self._routing.rank(route, task.state.job.tenant))
+        return min(LOWEST_PRIORITY, self._routing.rank(route, task.state.job.tenant))
 
     def _loading(self, task: ItemTask) -> Callable[[], bool]:
         incarnation, model = task.engine.incarnation, task.state.job.model
@@ -237,10 +237,10 @@
     return ItemScorer(call.request_id, call.host, call.path, call.body)
 
 
-def given_up(task: ItemTask, reason: str) -> ItemResult:
-    """Return the result of an item that can't be done; logs why."""
+def failed_result(task: ItemTask, reason: str) -> ItemResult:
+    """Return a FAILED result for an item and log the reason."""
     logger.info(
-        "item given up",
+        "item failed",
         code="item_failed",
         request=task.item.item_id,
         job=task.state.job.job_id,
@@ -250,7 +250,7 @@
     return ItemResult(task.item.item_id, ResultState.FAILED)
 
 
-def _judge(engine: BackendState, outcome: RunOutcome) -> None:
+def _record_engine_outcome(engine: BackendState, outcome: RunOutcome) -> None:
     if outcome is RunOutcome.COMPLETE:
         engine.failures = 0
     elif outcome in (RunOutcome.BROKEN, RunOutcome.UNREACHABLE):
@@ -259,8 +259,8 @@
         engine.refused()
 
 
-def _seconds_left(task: ItemTask, route: Route) -> float:
+def _remaining_seconds(task: ItemTask, route: Route) -> float:
     if route.maximum_queue_seconds <= 0:
         return route.timeout_seconds
     end = task.state.job.submitted_at + route.maximum_queue_seconds
-    return max(LEAST_RUN_SECONDS, end - time.time())
+    return max(MIN_RUN_SECONDS, end - time.time())
--- a/src/runkeel/jobs/item_task.py
+++ b/src/runkeel/jobs/item_task.py
@@ -1,4 +1,4 @@
-"""An open item of a batch job, from its acceptance until its result is listed."""
+"""State of an open item of a batch job, from submission until its result is listed."""
 
 from __future__ import annotations
 
@@ -19,10 +19,12 @@
     """One open item of a job.
 
     Attributes:
-        failures: runs that an engine answered with a failure.
-        not_before: steady time before which it isn't run again.
-        score: the scorer's stamp, where the node that ran it has had it scored.
-        scoring_problem: why that node could not; empty if it could or had not to.
+        failures: number of runs that an engine answered with a failure.
+        not_before: steady clock time, in seconds, before which it is not run again.
+        resumed: a partial output was found when it was queued; such items are placed first.
+        route_missing_since: steady clock time, in seconds; 0 if the route is not missing.
+        score: signature of the scorer's answer, if the node that ran the item had it scored.
+        scoring_problem: why that node could not score it; empty if it could or did not need to.
     """
 
     state: JobState
@@ -32,21 +34,21 @@
     not_before: float = 0.0
     engine: BackendState | None = None
     run: GenerationRun | RemoteRun | None = None
-    task: gevent.Greenlet | None = None
-    carried: bool = False
+    greenlet: gevent.Greenlet | None = None
+    resumed: bool = False
     route_missing_since: float = 0.0
     score: str = ""
     scoring_problem: str = ""
-    better_text: PartialText | None = None
-    """A longer text that came while it ran; it goes on from that once its run has ended."""
-    begun: bool = False
-    """Its greenlet has begun to run; one that is killed before never cleans up."""
+    better_output: PartialText | None = None
+    """A longer partial output received while it ran; it resumes from it once the run has ended."""
+    started: bool = False
+    """Its greenlet has started; one killed before that never runs its cleanup."""
     watched: WatchedRequest | None = None
-    """Whether the item may be run, as far as crashes of engines go."""
-    next_engine: BackendState | None = None
-    """Engine with a slot kept for this item, which is leaving a slow one."""
+    """Tracks engine crashes under this item; None until the quarantine is first consulted."""
+    reserved_engine: BackendState | None = None
+    """Engine with a slot reserved for this item while it moves there from another engine."""
 
     @property
     def key(self) -> tuple[str, str]:
-        """Names the task."""
+        """Job ID and item ID."""
         return self.state.job.job_id, self.item.item_id
--- a/src/runkeel/jobs/kept_texts.py
+++ b/src/runkeel/jobs/kept_texts.py
@@ -1,31 +1,30 @@
-"""Texts of items that no job runs at present; a later job may name the same items."""
+"""Partial outputs retained for items that no current job runs; later jobs may contain the items."""
 
 from __future__ import annotations
 
 from runkeel.jobs.generation_run import PartialText
 
-MAXIMUM_TEXTS = 2_000
-"""Most texts kept; the oldest go first. Chosen, not measured."""
+MAX_OUTPUTS = 2_000
+"""Upper bound of retained outputs; the oldest are evicted first."""
 
 
-class KeptTexts:
-    """The latest texts, by item; the oldest give way."""
+class RetainedOutputs:
+    """The most recent partial outputs by item ID."""
 
     def __init__(self) -> None:
-        self._texts: dict[str, PartialText] = {}
+        self._outputs: dict[str, PartialText] = {}
 
-    def keep(self, item_id: str, text: PartialText) -> None:
-        """Keep an item's text; one without pieces isn't worth it."""
-        if not text.pieces:
+    def keep(self, item_id: str, output: PartialText) -> None:
+        """Retain an item's partial output; ignored if it is empty."""
+        if not output.pieces:
             return
-        self._texts[item_id] = text
-        while len(self._texts) > MAXIMUM_TEXTS:
-            self._texts.pop(next(iter(self._texts)))
+        self._outputs[item_id] = output
+        while len(self._outputs) > MAX_OUTPUTS:
+            self._outputs.pop(next(iter(self._outputs)))
 
     def get(self, item_id: str) -> PartialText | None:
-        """Return an item's text."""
-        return self._texts.get(item_id)
+        return self._outputs.get(item_id)
 
     def take(self, item_id: str) -> PartialText | None:
-        """Return an item's text and keep it no longer."""
-        return self._texts.pop(item_id, None)
+        """Remove and return an item's partial output."""
+        return self._outputs.pop(item_id, None)
--- a/src/runkeel/jobs/run_mover.py
+++ b/src/runkeel/jobs/run_mover.py
@@ -82,7 +82,7 @@
             task
             for task in generating
             if now - task.run.first_event_at >= LEAST_SECONDS_BEFORE_MOVE
-            and task.next_engine is None
+            and task.reserved_engine is None
             and self._most_gained(task) >= self._least_gain(task)
         ]
         longest = heapq.nlargest(MOVES_PER_CHECK, settled, key=self.remaining_events)
@@ -99,7 +99,7 @@
         there = [
             task
             for task in tasks
-            if task.run is not None and task.run.events and task.next_engine is None
+            if task.run is not None and task.run.events and task.reserved_engine is None
         ]
         for task in sorted(there, key=self.remaining_events, reverse=True):
             remaining = self.remaining_events(task)
@@ -146,7 +146,7 @@
         )
         # Taken at once, so that not all items choose the same free slot.
         self._placement.take(other)
-        task.next_engine = other
+        task.reserved_engine = other
         task.run.move_away()
 
 
--- a/tests/jobs/test_item_queue.py
+++ b/tests/jobs/test_item_queue.py
@@ -40,7 +40,7 @@
     def test_the_longest_item_of_a_job_comes_first_and_those_with_a_text_before_it(self):
         tasks = [self._task(item) for item in range(3)]
         self.lengths = {tasks[1].item.item_id: 3.0}
-        tasks[2].carried = True
+        tasks[2].resumed = True
         for task in tasks:
             self.queue.put(task)
         self.assertEqual(self._in_order(), [tasks[2], tasks[1], tasks[0]])
@@ -63,9 +63,9 @@
         task.not_before = steady_seconds() + 60.0
         self.queue.put(task)
         self.assertEqual(self.queue.lanes(), [])
-        self.assertEqual(self.queue.next_rested_at(), task.not_before)
+        self.assertEqual(self.queue.next_delay_end(), task.not_before)
         task.not_before -= 120.0
-        self.queue.wake_rested(steady_seconds() + 61.0)
+        self.queue.requeue_delayed(steady_seconds() + 61.0)
         self.assertEqual(self._in_order(), [task])
 
     def test_item_is_found_by_its_id_and_gone_once_removed(self):
@@ -82,7 +82,7 @@
     def test_item_that_is_put_again_counts_once(self):
         task = self._task()
         self.queue.put(task)
-        task.carried = True
+        task.resumed = True
         self.queue.put(task)
         self.assertEqual((len(self.queue), self._in_order()), (1, [task]))
 
@@ -97,7 +97,7 @@
         self.queue.put(self._task())
         self.assertEqual([lane.service for lane in self.queue.lanes()], [""])
         self.route = route
-        self.queue.arrange_anew()
+        self.queue.rebuild_lanes()
         self.assertEqual([lane.service for lane in self.queue.lanes()], ["engines"])
 
 
--- a/tests/jobs/test_run_mover.py
+++ b/tests/jobs/test_run_mover.py
@@ -79,7 +79,7 @@
         long, short = self._running("slow", 10_000), self._running("slow", 1_000)
         self.mover.move_from_slow_engines([short, long])
         self.assertTrue(long.run.moved)
-        self.assertIs(long.next_engine, self.engines["fast"])
+        self.assertIs(long.reserved_engine, self.engines["fast"])
         self.assertFalse(short.run.moved)
 
     def test_the_longest_items_get_the_free_slots(self):
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's book-keeping: slots, texts, items without a route."""
+"""The scheduler: slot accounting, partial outputs, items without a route."""
 
 import unittest
 from dataclasses import replace
@@ -25,10 +25,10 @@
 from runkeel.jobs.item_task import ItemTask
 from runkeel.jobs.job_state import JobState
 from runkeel.jobs.scheduler import (
-    LEAST_EVENTS_AHEAD,
-    REQUEUE_SECONDS,
-    STARTS_PER_TURN,
-    UNKNOWN_ITEM_SECONDS,
+    MIN_EVENTS_AHEAD,
+    REQUEUE_DELAY_SECONDS,
+    STARTS_PER_YIELD,
+    UNKNOWN_ITEM_GRACE_SECONDS,
     Scheduler,
 )
 from tests.jobs.test_job_service import JOB_ID, make_job
@@ -52,21 +52,21 @@
 
 
 class RefusingProtocol:
-    """Every request fails before it is sent; what matters here is the book-keeping."""
+    """Fails if a request is encoded."""
 
     def encode_generation(self, request, backend, remaining):
         raise AssertionError("not reached: the greenlet is killed before it begins")
 
 
 class UnreachedProtocol:
-    """Nobody listens at the engine's address."""
+    """Sends requests to an address without a listener."""
 
     def encode_generation(self, request, backend, remaining):
         return OutgoingRequest("POST", request.path, [], request.body)
 
 
 class SilentProtocol:
-    """No request is ever sent."""
+    """Blocks before any request is sent."""
 
     def encode_generation(self, request, backend, remaining):
         gevent.sleep(60.0)
@@ -95,7 +95,7 @@
         self.addCleanup(self.scheduler.stop)
 
     def test_engine_that_refuses_connections_is_left_for_longer_than_a_full_one(self):
-        """agreste-grown inc-05b9: 497 runs were tried at three dead engines, each 50 ms."""
+        """Guards against retrying items on dead engines as often as on full ones."""
         self.routing.apply(make_configuration())
         self._use_protocol(UnreachedProtocol())
         self.scheduler.start()
@@ -122,7 +122,7 @@
         self.assertEqual(self.scheduler.open_texts(), {})
 
     def test_longer_text_of_older_weights_does_not_replace_a_newer_one(self):
-        """kitami trouble-3 (trial t8): an item began anew, as a stale copy was longer."""
+        """Guards against restarting an item because a stale copy of its output is longer."""
         item_id = f"{JOB_ID}-0"
         self.scheduler.keep_texts({item_id: PartialText(["x"], "1", [1])})
         stale = PartialText(["a", "b", "c"], "3", [0], True)
@@ -132,7 +132,7 @@
         self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x"])
 
     def test_running_item_goes_back_to_a_text_that_is_far_ahead(self):
-        """shifted trouble-2: texts came 0.6 s after the items of a step had begun anew."""
+        """Partial outputs may arrive after their items have been restarted from the beginning."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
         self.scheduler.add(self.state)
@@ -140,15 +140,15 @@
         gevent.sleep(0.01)
         item_id = f"{JOB_ID}-0"
         task = self.scheduler._running.of_item(item_id)
-        near = PartialText(["x"] * (LEAST_EVENTS_AHEAD - 1), "7", [1])
+        near = PartialText(["x"] * (MIN_EVENTS_AHEAD - 1), "7", [1])
         self.assertFalse(self.scheduler.lacks_text(item_id, near.precedence))
-        far = PartialText(["x"] * LEAST_EVENTS_AHEAD, "8", [1])
+        far = PartialText(["x"] * MIN_EVENTS_AHEAD, "8", [1])
         self.assertTrue(self.scheduler.lacks_text(item_id, far.precedence))
         with mock.patch.object(task, "run") as run:
             self.scheduler.adopt_text(item_id, far)
             run.move_away.assert_called_once_with()
             self.assertFalse(self.scheduler.lacks_text(item_id, far.precedence))
-        self.scheduler._after_break(task, self.scheduler._route(task), RunOutcome.MOVED)
+        self.scheduler._handle_incomplete_run(task, self.scheduler._route(task), RunOutcome.MOVED)
         self.assertIs(self.scheduler._queue.of_item(item_id).partial, far)
 
     def test_running_item_does_not_go_back_to_a_text_of_older_weights(self):
@@ -169,7 +169,7 @@
 
     def test_text_of_an_item_that_no_job_names_is_taken_at_the_start_only(self):
         self.assertTrue(self.scheduler.lacks_text("other", (1, 2)))
-        self.scheduler._created_at -= UNKNOWN_ITEM_SECONDS
+        self.scheduler._created_at -= UNKNOWN_ITEM_GRACE_SECONDS
         self.assertFalse(self.scheduler.lacks_text("other", (1, 2)))
         self.scheduler.add(self.state)
         self.assertTrue(self.scheduler.lacks_text(f"{JOB_ID}-0", (1, 2)))
@@ -187,7 +187,7 @@
         self.assertFalse(self.scheduler.finished(f"{JOB_ID}-0"))
 
     def test_without_a_configuration_items_wait(self):
-        """agreste trouble-1, snapshot b5fa95be: 64 items were given up (MIXED)."""
+        """Guards against failing items for a missing route before any configuration is loaded."""
         self.scheduler.start()
         self.addCleanup(self.scheduler.stop)
         self.scheduler.add(self.state)
@@ -221,7 +221,7 @@
         engine = self.directory.get("e")
         self.placement.take(engine)
         task = self.scheduler._queue.tasks()[0]
-        task.next_engine = engine
+        task.reserved_engine = engine
         self.scheduler._queue.put(task)
         self.state.end()
         self.scheduler._place_all()
@@ -230,15 +230,15 @@
     def test_text_of_an_ended_job_is_continued_by_the_next_one(self):
         self.scheduler.add(self.state)
         task = self.scheduler._queue.tasks()[0]
-        text = task.partial
-        text.pieces.append("x")
-        text.versions.append(1)
+        output = task.partial
+        output.pieces.append("x")
+        output.versions.append(1)
         item_id = task.item.item_id
         self.scheduler.drop(self.state)
         self.scheduler.add(JobState(make_job()))
         task = self.scheduler._queue.of_item(item_id)
-        self.assertTrue(task.carried)
-        self.assertIs(task.partial, text)
+        self.assertTrue(task.resumed)
+        self.assertIs(task.partial, output)
 
     def test_text_of_older_weights_is_not_continued(self):
         old = PartialText(["x"], "1", [0])
@@ -247,7 +247,7 @@
         self.assertEqual(self.scheduler._queue.of_item(f"{JOB_ID}-0").partial.pieces, [])
 
     def test_looking_for_work_costs_no_more_with_many_waiting_items(self):
-        """Sweep at 303 servers: a wake asked for an engine for each of 624 waiting items."""
+        """Guards against a scheduling pass that searches an engine for every waiting item."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
         self.scheduler.add(JobState(make_job(items=500)))
@@ -259,7 +259,7 @@
         self.assertEqual(choose.call_count, 1)
 
     def test_item_whose_earlier_run_may_go_on_waits(self):
-        """Trial hunt on kitami-yard (ORDER): an item of an ended job was begun beside itself."""
+        """Guards against running an item twice when an ended job's run is still in flight."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
         going_on = {f"{JOB_ID}-0"}
@@ -269,23 +269,23 @@
             self.assertFalse(self.scheduler._running.has_item(f"{JOB_ID}-0"))
             self.assertEqual(len(self.scheduler._running), len(self.state.items) - 1)
             going_on.clear()
-            gevent.sleep(2 * REQUEUE_SECONDS)
+            gevent.sleep(2 * REQUEUE_DELAY_SECONDS)
             self.scheduler._place_all()
         self.assertTrue(self.scheduler._running.has_item(f"{JOB_ID}-0"))
 
     def test_other_tasks_have_their_turn_while_many_items_start(self):
-        """Sweep at 303 servers: pings went unanswered for 1.6 s while a job's items started."""
+        """Guards against event loop lag while the items of a large job are started."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
-        for number in range(STARTS_PER_TURN):
+        for number in range(STARTS_PER_YIELD):
             backend = Backend(f"e{number}", SERVICE, DEAD_ADDRESS, "z", 8, False, {"m": 1})
             self.directory.put(backend)
-        self.scheduler.add(JobState(make_job(items=4 * STARTS_PER_TURN)))
+        self.scheduler.add(JobState(make_job(items=4 * STARTS_PER_YIELD)))
         turns = []
         other = gevent.spawn(lambda: turns.append(len(self.scheduler._running)))
         self.scheduler._place_all()
         self.assertTrue(other.ready())
-        self.assertEqual(turns, [STARTS_PER_TURN])
+        self.assertEqual(turns, [STARTS_PER_YIELD])
 
     def test_first_items_of_other_jobs_are_placed_when_one_job_finds_no_engine(self):
         self._use_protocol(SilentProtocol())
