--- a/src/runkeel/jobs/item_queue.py
+++ b/src/runkeel/jobs/item_queue.py
@@ -1,8 +1,8 @@
-"""The items that wait for an engine, in the order in which they are to be placed.
+"""Queue of the items that wait for an engine, in scheduling order.
 
-Waiting items stand in lanes, one for each job and service. Where the first item of a lane finds no
-engine, no other item of that lane would, so that looking for work costs as much as there are lanes
-rather than as there are items.
+Items are queued in lanes, one per job and service. If no engine is found for the first item of a
+lane, none would be found for the others, so a scheduling pass scales with the number of lanes
+rather than items.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from runkeel.gateway.routing import choose_service
 from runkeel.jobs.item_task import ItemTask
 
-LAST_RANK = 9
-"""Rank of items whose route is unknown, behind all others; ranks of routes run from 0 to 9."""
+UNROUTED_RANK = 9
+"""Rank of items without a route, the lowest; ranks of routes range from 0 to 9."""
 
 LaneKey = tuple[str, str]
 
 
-class _Entry(NamedTuple):
-    """An item's place in its lane: those with a text first, then the longest."""
+class _LaneEntry(NamedTuple):
+    """Sort key in a lane's heap: resumed items first, then the longest, then the oldest entry."""
 
-    fresh: bool
+    not_resumed: bool
     negative_length: float
-    number: int
+    entry_id: int
     task: ItemTask
 
 
@@ -38,27 +38,28 @@
     """Items of one job that go to one service.
 
     Attributes:
-        rank: of the job's tenant or route; the smallest is placed first.
+        rank: rank of the job's tenant or route; lower ranks are scheduled first.
+        submitted_at: Unix time of the job's submission, in seconds.
         service: empty while the items have no route.
-        waiting_since: steady time since which items have waited for an engine; 0: none waits.
+        waiting_since: steady clock time, in seconds, when no engine was first found; 0: never.
     """
 
     rank: int
     submitted_at: float
     service: str
     waiting_since: float = 0.0
-    entries: list[_Entry] = field(default_factory=list)
+    entries: list[_LaneEntry] = field(default_factory=list)
     count: int = 0
-    """Entries that are still valid."""
+    """Number of valid entries."""
 
 
 class ItemQueue:
-    """Items that wait, by lane.
+    """Queued items, by lane.
 
     Args:
-        route_of: the route of an item; None: it has none.
-        length_of: what an item has still to generate, as a multiple of a typical generation.
-        rank_of: how urgent an item is, 0 the most, given its route.
+        route_of: returns the route of an item, None if it has none.
+        length_of: returns an item's remaining length as a multiple of a typical generation.
+        rank_of: returns the rank of an item with a route; 0 is the most urgent.
     """
 
     def __init__(
@@ -70,57 +71,57 @@
         self._rank_of = rank_of
         self._route_of = route_of
         self._length_of = length_of
-        self._numbers = itertools.count(1)
-        self._valid: dict[int, tuple[ItemTask, LaneKey | None]] = {}
-        """By the number of an item's entry: the item and its lane, None while it rests."""
-        self._entries: dict[tuple[str, str], int] = {}
+        self._entry_ids = itertools.count(1)
+        self._valid_entries: dict[int, tuple[ItemTask, LaneKey | None]] = {}
+        """Item and lane by entry ID; the lane is None while the item is delayed or ready."""
+        self._entry_by_key: dict[tuple[str, str], int] = {}
         self._by_item: dict[str, ItemTask] = {}
         self._by_job: dict[str, dict[tuple[str, str], ItemTask]] = {}
         self._lanes: dict[LaneKey, Lane] = {}
-        self._resting: list[tuple[float, int]] = []
+        self._delayed: list[tuple[float, int]] = []
         self._ready: dict[tuple[str, str], ItemTask] = {}
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._entry_by_key)
 
     def __contains__(self, task: ItemTask) -> bool:
         known = self._by_job.get(task.key[0], {}).get(task.key)
         return known is task
 
     def tasks(self) -> list[ItemTask]:
-        """Return all items that wait, in no particular order."""
+        """Return all queued items, in no particular order."""
         return [task for tasks in self._by_job.values() for task in tasks.values()]
 
     def of_item(self, item_id: str) -> ItemTask | None:
-        """Return the task of an item that waits."""
+        """Return the task of a queued item."""
         return self._by_item.get(item_id)
 
     def of_job(self, job_id: str) -> list[ItemTask]:
-        """Return the items of a job that wait."""
+        """Return the queued items of a job."""
         return list(self._by_job.get(job_id, {}).values())
 
     def put(self, task: ItemTask) -> None:
-        """Take an item, or give one that is known the place that it has now."""
+        """Enqueue an item, or reposition it if it is queued already."""
         self.remove(task)
-        number = next(self._numbers)
-        self._entries[task.key] = number
+        entry_id = next(self._entry_ids)
+        self._entry_by_key[task.key] = entry_id
         self._by_item[task.key[1]] = task
         self._by_job.setdefault(task.key[0], {})[task.key] = task
         if task.partial.whole or task.reserved_engine is not None:
-            self._valid[number] = task, None
+            self._valid_entries[entry_id] = task, None
             self._ready[task.key] = task
         elif task.not_before > steady_seconds():
-            self._valid[number] = task, None
-            heapq.heappush(self._resting, (task.not_before, number))
+            self._valid_entries[entry_id] = task, None
+            heapq.heappush(self._delayed, (task.not_before, entry_id))
         else:
-            self._enter_lane(task, number)
+            self._enter_lane(task, entry_id)
 
     def remove(self, task: ItemTask) -> None:
-        """Forget an item; does nothing when it doesn't wait."""
-        number = self._entries.pop(task.key, None)
-        if number is None:
+        """Remove an item; does nothing if it is not queued."""
+        entry_id = self._entry_by_key.pop(task.key, None)
+        if entry_id is None:
             return
-        lane_key = self._valid.pop(number)[1]
+        lane_key = self._valid_entries.pop(entry_id)[1]
         if lane_key is not None:
             lane = self._lanes[lane_key]
             lane.count -= 1
@@ -135,58 +136,57 @@
             del self._by_job[task.key[0]]
 
     def clear(self) -> None:
-        """Forget all items."""
         for task in self.tasks():
             self.remove(task)
-        self._resting.clear()
+        self._delayed.clear()
 
     def rebuild_lanes(self) -> None:
-        """Put all items into the lanes of the configuration in force."""
+        """Enqueue all items again according to the current routing configuration."""
         for task in self.tasks():
             self.put(task)
 
     def requeue_delayed(self, now: float) -> None:
-        """Let items that had to rest take their place."""
-        while self._resting and self._resting[0][0] <= now:
-            _, number = heapq.heappop(self._resting)
-            known = self._valid.get(number)
+        """Enqueue the items whose delay has passed."""
+        while self._delayed and self._delayed[0][0] <= now:
+            _, entry_id = heapq.heappop(self._delayed)
+            known = self._valid_entries.get(entry_id)
             if known is not None:
                 self.put(known[0])
 
     def next_delay_end(self) -> float | None:
-        """Return when the next item has rested; None: none rests."""
-        while self._resting and self._resting[0][1] not in self._valid:
-            heapq.heappop(self._resting)
-        return self._resting[0][0] if self._resting else None
+        """Return the steady clock time, in seconds, of the end of the next delay; None if none."""
+        while self._delayed and self._delayed[0][1] not in self._valid_entries:
+            heapq.heappop(self._delayed)
+        return self._delayed[0][0] if self._delayed else None
 
     def ready(self) -> list[ItemTask]:
-        """Return items that need no free engine: one is kept for them, or their text is whole."""
+        """Return items with a reserved slot or a complete output, which need no free engine."""
         return list(self._ready.values())
 
     def lanes(self) -> list[Lane]:
-        """Return the lanes in the order in which their items are placed."""
+        """Return the lanes in scheduling order."""
         return sorted(self._lanes.values(), key=lambda lane: (lane.rank, lane.submitted_at))
 
     def first(self, lane: Lane) -> ItemTask | None:
-        """Return the first item of a lane; None when it is empty."""
-        while lane.entries and lane.entries[0].number not in self._valid:
+        """Return the first item of a lane, None if it is empty."""
+        while lane.entries and lane.entries[0].entry_id not in self._valid_entries:
             heapq.heappop(lane.entries)
         return lane.entries[0].task if lane.entries else None
 
     def of_lane(self, lane: Lane) -> list[ItemTask]:
         """Return the items of a lane, in no particular order."""
-        return [entry.task for entry in lane.entries if entry.number in self._valid]
+        return [entry.task for entry in lane.entries if entry.entry_id in self._valid_entries]
 
-    def _enter_lane(self, task: ItemTask, number: int) -> None:
+    def _enter_lane(self, task: ItemTask, entry_id: int) -> None:
         route = self._route_of(task)
         service = choose_service(route, task.item.item_id) if route is not None else ""
         key = task.state.job.job_id, service
         lane = self._lanes.get(key)
         if lane is None:
-            rank = self._rank_of(task, route) if route is not None else LAST_RANK
+            rank = self._rank_of(task, route) if route is not None else UNROUTED_RANK
             lane = Lane(rank, task.state.job.submitted_at, service)
             self._lanes[key] = lane
         lane.count += 1
-        entry = _Entry(not task.resumed, -self._length_of(task), number, task)
+        entry = _LaneEntry(not task.resumed, -self._length_of(task), entry_id, task)
         heapq.heappush(lane.entries, entry)
-        self._valid[number] = task, key
+        self._valid_entries[entry_id] = task, key
--- a/tests/jobs/test_item_queue.py
+++ b/tests/jobs/test_item_queue.py
@@ -1,4 +1,4 @@
-"""The order of waiting items, and what is looked at to find the next one."""
+"""The order of queued items, and their lanes."""
 
 import unittest
 from dataclasses import replace
@@ -37,7 +37,7 @@
                 self.queue.remove(task)
         return order
 
-    def test_the_longest_item_of_a_job_comes_first_and_those_with_a_text_before_it(self):
+    def test_resumed_items_of_a_job_come_first_then_the_longest(self):
         tasks = [self._task(item) for item in range(3)]
         self.lengths = {tasks[1].item.item_id: 3.0}
         tasks[2].resumed = True
@@ -58,7 +58,7 @@
         order = [task.state.job.job_id for task in self._in_order()]
         self.assertEqual(order, ["c", "a", "b"])
 
-    def test_item_that_rests_takes_its_place_later(self):
+    def test_delayed_item_is_requeued_later(self):
         task = self._task()
         task.not_before = steady_seconds() + 60.0
         self.queue.put(task)
@@ -86,13 +86,13 @@
         self.queue.put(task)
         self.assertEqual((len(self.queue), self._in_order()), (1, [task]))
 
-    def test_whole_texts_need_no_lane(self):
+    def test_complete_outputs_need_no_lane(self):
         task = self._task()
         task.partial.whole = True
         self.queue.put(task)
         self.assertEqual((self.queue.ready(), self.queue.lanes()), ([task], []))
 
-    def test_items_without_a_route_find_their_lane_when_it_comes(self):
+    def test_items_without_a_route_enter_their_lane_once_it_is_configured(self):
         route, self.route = self.route, None
         self.queue.put(self._task())
         self.assertEqual([lane.service for lane in self.queue.lanes()], [""])
