--- a/src/runkeel/jobs/engine_versions.py
+++ b/src/runkeel/jobs/engine_versions.py
@@ -1,4 +1,4 @@
-"""Asks engines which weight versions they serve, where nobody else can tell."""
+"""Queries engines for the weight versions that they serve."""
 
 from __future__ import annotations
 
@@ -12,34 +12,37 @@
 from runkeel.errors import RunkeelError
 from runkeel.gateway.backends import BackendDirectory, BackendState
 
-CONCURRENT_REPORTS = 32
-"""So many engines are asked at once."""
+MAX_CONCURRENT_QUERIES = 32
+"""Upper bound of concurrent queries."""
 
-REPORT_SECONDS = 0.5
-"""Longest wait for an engine's answer; one that gives none may be down."""
+QUERY_TIMEOUT_SECONDS = 0.5
+"""Timeout of one query."""
 
 
 def report_versions(
     directory: BackendDirectory, protocol: BackendProtocol, services: Iterable[str]
 ) -> dict[tuple[str, str], int]:
-    """Return the version of each engine and model, as the engines themselves report."""
+    """Return the weight version by engine incarnation and model, as reported by the engines."""
     engines = [state for service in services for state in directory.of_service(service)]
     versions: dict[tuple[str, str], int] = {}
-    for state, reported in Pool(CONCURRENT_REPORTS).imap_unordered(
-        lambda state: (state, _ask(state, protocol)), engines
+    for state, reported in Pool(MAX_CONCURRENT_QUERIES).imap_unordered(
+        lambda state: (state, _query(state, protocol)), engines
     ):
         for model, version in reported.items():
             versions[state.incarnation, model] = version
     return versions
 
 
-def _ask(state: BackendState, protocol: BackendProtocol) -> dict[str, int]:
+def _query(state: BackendState, protocol: BackendProtocol) -> dict[str, int]:
     outgoing = protocol.encode_report_query(state.backend)
     try:
-        answer = state.pool.request(outgoing, steady_seconds() + REPORT_SECONDS)
+        answer = state.pool.request(outgoing, steady_seconds() + QUERY_TIMEOUT_SECONDS)
         return protocol.parse_report(answer.body).model_versions if answer.status == 200 else {}
     except (RunkeelError, ValueError, KeyError) as error:
         logger.info(
-            "no report", code="engine_report_lost", backend=state.incarnation, error=str(error)
+            "engine version query failed",
+            code="engine_report_lost",
+            backend=state.incarnation,
+            error=str(error),
         )
         return {}
--- a/src/runkeel/jobs/expiry.py
+++ b/src/runkeel/jobs/expiry.py
@@ -1,4 +1,4 @@
-"""When the time of a batch job's item is over, so that it may be given up."""
+"""Expiry time of the items of batch jobs."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from runkeel.api.fleet import Route
 from runkeel.api.jobs import BatchJob
 
-CLOCK_DIFFERENCE_SECONDS = 4.5
-"""The clock of the node that accepted the job and that of the coordinator differ by less.
+MAX_CLOCK_SKEW_SECONDS = 4.5
+"""Upper bound of the clock skew between the node that accepted a job and the coordinator.
 
-Either may be 2 s off for a while, in opposite ways. An item that is given up too early is lost to
-its trainer, who was told how long it is tried; one that is given up later costs nobody anything.
+Each clock may be off by 2 s in opposite directions. Expiring an item late is harmless; expiring it
+early would break the queue time promised to the client.
 """
 
 
 def expires_at(job: BatchJob, route: Route) -> float:
-    """Return the Unix time from which on an item may be given up; never: infinity."""
+    """Return the Unix time in seconds when an item expires; infinity if it never does."""
     if route.maximum_queue_seconds <= 0:
         return math.inf
-    return job.submitted_at + route.maximum_queue_seconds + CLOCK_DIFFERENCE_SECONDS
+    return job.submitted_at + route.maximum_queue_seconds + MAX_CLOCK_SKEW_SECONDS
--- a/src/runkeel/jobs/scorer.py
+++ b/src/runkeel/jobs/scorer.py
@@ -1,4 +1,4 @@
-"""Has a generated text scored by the service that its item names."""
+"""Scores generated outputs by calling the scoring service that an item names."""
 
 from __future__ import annotations
 
@@ -17,39 +17,38 @@
 from runkeel.gateway.forwarder import Forwarder
 from runkeel.gateway.routing import RoutingTable, choose_service
 
-CALL_SECONDS = 1.0
-"""Shortest limit of one call; a server that is silent is left then, and the call repeated."""
+MIN_CALL_SECONDS = 1.0
+"""Lower bound of the timeout of one call; a call that times out is retried."""
 
-CALL_SHARE = 2.0
-"""A call's limit as a multiple of its route's target.
+CALL_TARGET_MULTIPLE = 2.0
+"""A call's timeout as a multiple of its route's target latency.
 
-A scorer that is six times slower than usual still answers within it where the target is four times
-the usual time: with a second for all, each of its answers was 504, and its work in vain.
+A fixed timeout would make every call to a slow scorer fail.
 """
 
 RETRY_SECONDS = 0.1
-"""Pause before another scorer is tried. Chosen, not measured."""
+"""Delay before a retry."""
 
-LONG_WAIT_SECONDS = 0.1
-"""A call that waited so long for its turn is told; shorter waits are common and change little."""
+LOGGED_WAIT_SECONDS = 0.1
+"""Waits for a slot of at least this long are logged."""
 
-HELD_RETRY_SECONDS = 5.0
-"""Longest pause before a call is tried again that is held back since scorers ended under it."""
+MAX_QUARANTINE_RETRY_SECONDS = 5.0
+"""Upper bound of the retry delay of a call that the quarantine withholds."""
 
 
 class ScoringFailedError(Exception):
-    """The scorer answered with as many failures as its route allows attempts."""
+    """The scorer reported failures until the route's attempts were used up."""
 
 
 class ScoringUnfinishedError(Exception):
-    """No scorer has answered with success in time; the text may be scored later."""
+    """No scorer succeeded before the deadline; scoring may be retried later."""
 
 
 class Scorer:
-    """Calls scorers until one answers with success.
+    """Calls scorers until one succeeds.
 
     Args:
-        calls: lets the calls begin, so that callers of the same service find room.
+        calls: limits concurrent calls, leaving slots of the service to other requests.
     """
 
     def __init__(
@@ -65,37 +64,40 @@
         self._protocol = protocol
 
     def score(self, call: ScorerCall, deadline: float) -> str:
-        """Return the stamp of a successful answer.
+        """Return the stamp (signature) of a successful answer.
+
+        Args:
+            deadline: steady clock time in seconds.
 
         Raises:
-            ScoringFailedError: the route's attempts are used up by failures.
-            ScoringUnfinishedError: time ran out before.
+            ScoringFailedError: failures used up the route's attempts.
+            ScoringUnfinishedError: the deadline passed first.
         """
         failures = 0
         pause = RETRY_SECONDS
         while steady_seconds() < deadline:
             route = self._routing.match(call.host.lower(), call.path.partition("?")[0])
             if route is not None:
-                stamp, failed, pause = self._call_in_turn(call, route, deadline)
+                stamp, failed, pause = self._call_with_slot(call, route, deadline)
                 if stamp:
                     return stamp
                 failures += failed
                 if failures >= route.maximum_attempts:
-                    raise ScoringFailedError(f"{failures} failures")
+                    raise ScoringFailedError(f"{failures} failed attempts")
             gevent.sleep(max(0.0, min(pause, deadline - steady_seconds())))
-        raise ScoringUnfinishedError(f"out of time, {failures} failures")
+        raise ScoringUnfinishedError(f"deadline exceeded after {failures} failed attempts")
 
-    def _call_in_turn(
+    def _call_with_slot(
         self, call: ScorerCall, route: Route, deadline: float
     ) -> tuple[str, int, float]:
-        """Call once a place is free; returns like :meth:`_call_once`."""
+        """Call once a slot is free; returns the same as :meth:`_call_once`."""
         service = choose_service(route, call.request_id)
         asked_at = steady_seconds()
         with self._calls.place(service, deadline) as granted:
             waited = steady_seconds() - asked_at
-            if waited >= LONG_WAIT_SECONDS or not granted:
+            if waited >= LOGGED_WAIT_SECONDS or not granted:
                 logger.info(
-                    "scorer call waited for its turn",
+                    "scorer call waited for a slot",
                     code="score_waited",
                     request=call.request_id,
                     service=service,
@@ -111,12 +113,12 @@
     def _call_once(
         self, call: ScorerCall, route: Route, service: str, deadline: float
     ) -> tuple[str, int, float]:
-        """Return the stamp (empty: none), the failures answered, and the pause after it."""
+        """Return the stamp (empty: none), the failed attempts and the retry delay in seconds."""
         request = self._protocol.score_request(
             call.request_id, call.host, call.path, base64.b64decode(call.body)
         )
         single = replace(route, maximum_attempts=1)
-        limit = max(CALL_SECONDS, CALL_SHARE * route.target_latency_seconds)
+        limit = max(MIN_CALL_SECONDS, CALL_TARGET_MULTIPLE * route.target_latency_seconds)
         call_deadline = min(deadline, steady_seconds() + limit)
         try:
             answer = self._forwarder.forward(request, single, service, call_deadline)
@@ -131,14 +133,16 @@
             if error.code is ErrorCode.QUEUE_FULL:
                 self._calls.limit_of(service).note_refused()
             held = error.code is ErrorCode.REQUEST_QUARANTINED
-            asked = min(HELD_RETRY_SECONDS, error.retry_after_seconds or 0.0) if held else 0.0
+            asked = (
+                min(MAX_QUARANTINE_RETRY_SECONDS, error.retry_after_seconds or 0.0) if held else 0.0
+            )
             return "", 0, max(RETRY_SECONDS, asked)
         answer_class = self._protocol.classify(call.request_id, answer.status, answer.headers)
         if answer_class is AnswerClass.SUCCESS:
             return self._protocol.stamp(answer.headers), 0, RETRY_SECONDS
         counts = self._protocol.is_failed_attempt(answer.status)
         logger.info(
-            "scorer answered with failure",
+            "scorer returned a failure",
             code="score",
             request=call.request_id,
             status=answer.status,
--- a/tests/jobs/test_expiry.py
+++ b/tests/jobs/test_expiry.py
@@ -1,4 +1,4 @@
-"""When an item may be given up, and what becomes of a text that nobody has scored in time."""
+"""When items expire, and retries of scoring that was not finished in time."""
 
 import time
 import unittest
@@ -13,7 +13,7 @@
 from runkeel.gateway.backends import BackendDirectory
 from runkeel.gateway.routing import RoutingTable
 from runkeel.jobs.engine_placement import EnginePlacement
-from runkeel.jobs.expiry import CLOCK_DIFFERENCE_SECONDS, expires_at
+from runkeel.jobs.expiry import MAX_CLOCK_SKEW_SECONDS, expires_at
 from runkeel.jobs.generation_run import PartialText
 from runkeel.jobs.job_state import JobState
 from runkeel.jobs.scheduler import Scheduler
@@ -23,11 +23,11 @@
 from tests.open_quarantine import open_quarantine
 
 QUEUE_SECONDS = 60.0
-LONGEST_WAIT_SECONDS = 5.0
+MAX_WAIT_SECONDS = 5.0
 
 
 class BusyScorer:
-    """No answer of success comes in time, a few times."""
+    """Raises ScoringUnfinishedError a number of times before it succeeds."""
 
     def __init__(self, times):
         self.times = times
@@ -52,14 +52,14 @@
         call = ScorerCall("score", "h", "/score/", "eA==")
         return replace(job, items=tuple(replace(item, scorer=call) for item in job.items))
 
-    def test_clocks_that_differ_give_nothing_up_too_early(self):
-        job = self.job(QUEUE_SECONDS + CLOCK_DIFFERENCE_SECONDS - 1.0)
+    def test_clock_skew_expires_nothing_too_early(self):
+        job = self.job(QUEUE_SECONDS + MAX_CLOCK_SKEW_SECONDS - 1.0)
         self.assertGreater(expires_at(job, self.route), time.time())
-        job = self.job(QUEUE_SECONDS + CLOCK_DIFFERENCE_SECONDS + 1.0)
+        job = self.job(QUEUE_SECONDS + MAX_CLOCK_SKEW_SECONDS + 1.0)
         self.assertLess(expires_at(job, self.route), time.time())
 
-    def test_route_that_names_no_time_gives_nothing_up(self):
-        """Each item was given up as soon as it was looked at."""
+    def test_route_without_queue_limit_expires_nothing(self):
+        """Guards against treating an unlimited queue time as already expired."""
         route = replace(self.route, maximum_queue_seconds=0.0)
         self.assertGreater(expires_at(self.job(10_000.0), route), time.time())
 
@@ -83,19 +83,19 @@
         state = JobState(job)
         scheduler.start()
         scheduler.add(state)
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + MAX_WAIT_SECONDS
         while not state.unlisted:
             self.assertLess(steady_seconds(), deadline, self.scorer.calls)
             gevent.sleep(0.01)
         return state.unlisted[0]
 
-    def test_text_that_nobody_scored_in_time_is_scored_later(self):
+    def test_unfinished_scoring_is_retried(self):
         result = self.start(0.0, unfinished=3)
         self.assertIs(result.state, ResultState.COMPLETED)
         self.assertEqual((result.score, self.scorer.calls), ("stamp", 4))
 
-    def test_text_that_nobody_scores_is_given_up_once_its_time_is_over(self):
-        result = self.start(QUEUE_SECONDS + CLOCK_DIFFERENCE_SECONDS + 1.0, unfinished=1_000)
+    def test_item_that_is_never_scored_fails_once_expired(self):
+        result = self.start(QUEUE_SECONDS + MAX_CLOCK_SKEW_SECONDS + 1.0, unfinished=1_000)
         self.assertIs(result.state, ResultState.FAILED)
 
 
--- a/tests/jobs/test_scorer.py
+++ b/tests/jobs/test_scorer.py
@@ -1,4 +1,4 @@
-"""Which answers of a scorer count towards giving an item up, and how long one is waited for."""
+"""Which scorer answers count as failed attempts, and the timeout of a call."""
 
 import base64
 import unittest
@@ -12,7 +12,7 @@
 from runkeel.gateway.deferrable_calls import DeferrableCalls
 from runkeel.gateway.routing import RoutingTable
 from runkeel.jobs.scorer import (
-    CALL_SECONDS,
+    MIN_CALL_SECONDS,
     Scorer,
     ScoringFailedError,
     ScoringUnfinishedError,
@@ -34,7 +34,7 @@
 
 
 class ScriptedForwarder:
-    """Answers with one status after the other, the last one again and again."""
+    """Returns the statuses in order and repeats the last one."""
 
     def __init__(self, *statuses):
         self.statuses = list(statuses)
@@ -76,8 +76,8 @@
             self.score(500, 500, 500, 200)
         self.assertEqual(self.forwarder.calls, 3)
 
-    def test_answer_after_its_time_is_no_failed_attempt(self):
-        """A scorer that is slow answers 504: the item was given up though no attempt had failed."""
+    def test_timed_out_answer_is_no_failed_attempt(self):
+        """Guards against counting the 504 of a slow scorer as a failed attempt."""
         self.assertEqual(self.score(504, 504, 504, 504, 200), "stamp")
 
     def test_no_other_answer_counts(self):
@@ -89,16 +89,16 @@
         lost = may_have_run(ErrorCode.BACKEND_LOST, "reset")
         self.assertEqual(self.score(500, lost, 500, lost, lost, 200), "stamp")
 
-    def test_time_that_ran_out_is_no_failure(self):
+    def test_exceeded_deadline_is_no_failure(self):
         with self.assertRaises(ScoringUnfinishedError):
             self.score(504, seconds=0.3)
 
-    def test_answer_is_waited_for_as_long_as_a_slow_scorer_needs(self):
-        """Six times slower than usual, a call of 0.2 s takes longer than a second."""
+    def test_timeout_scales_with_the_target_latency(self):
+        """Guards against a fixed timeout that every call to a slow scorer exceeds."""
         self.score(200, target=0.8)
         self.assertGreater(self.forwarder.limits[0], 1.5)
         self.score(200, target=0.05)
-        self.assertAlmostEqual(self.forwarder.limits[0], CALL_SECONDS, 1)
+        self.assertAlmostEqual(self.forwarder.limits[0], MIN_CALL_SECONDS, 1)
 
 
 if __name__ == "__main__":
