--- a/src/runkeel/jobs/length_estimates.py
+++ b/src/runkeel/jobs/length_estimates.py
@@ -1,23 +1,23 @@
-"""How many events a generation is still expected to make.
+"""Estimates the number of events that a generation will still produce.
 
-Callers guess the tokens of each generation. How many events a token makes is learnt from the
-generations that have ended; how long one runs on that has outlived its guess, from its length.
+Callers supply a guess of each generation's tokens. The ratio of events to tokens is learned from
+completed generations; a generation that exceeds its guess is extrapolated from its own length.
 """
 
 from __future__ import annotations
 
-FORGET_EVENTS = 20_000
-"""Once so many events have been seen, what was seen before counts for half."""
+HALVING_EVENTS = 20_000
+"""Totals are halved once they exceed this many events, so that old observations fade."""
 
-UNKNOWN_EVENTS = 20.0
-"""Length that a generation is expected to have while none has ended."""
+DEFAULT_EVENTS = 20.0
+"""Expected length of a generation while none has completed."""
 
-OUTLIVED_SHARE = 0.5
-"""A generation that has outlived its guess is expected to make so large a part of it again."""
+OVERRUN_FRACTION = 0.5
+"""Least expected remainder of a generation, as a fraction of the events generated so far."""
 
 
 class LengthEstimates:
-    """Learns from ended generations and estimates those that run or wait."""
+    """Learns from completed generations to estimate running and queued ones."""
 
     def __init__(self) -> None:
         self._events = 0.0
@@ -26,33 +26,33 @@
 
     @property
     def typical_events(self) -> float:
-        """Mean length of an ended generation."""
-        return self._events / self._generations if self._generations else UNKNOWN_EVENTS
+        """Mean length of completed generations, in events; recent ones weigh more."""
+        return self._events / self._generations if self._generations else DEFAULT_EVENTS
 
     def observe(self, guessed_tokens: int, events: int) -> None:
-        """Take the length of a generation that has ended."""
+        """Record the length of a completed generation; ignored without a guess."""
         if guessed_tokens <= 0:
             return
         self._events += events
         self._guessed_tokens += guessed_tokens
         self._generations += 1.0
-        if self._events > FORGET_EVENTS:
+        if self._events > HALVING_EVENTS:
             self._events /= 2
             self._guessed_tokens /= 2
             self._generations /= 2
 
     def remaining_events(self, guessed_tokens: int, events: int) -> float:
-        """Return how many events are still to come.
+        """Return the expected number of events still to be generated.
 
         Args:
-            guessed_tokens: the caller's guess of the whole generation; 0: none.
-            events: made so far.
+            guessed_tokens: the caller's guess for the whole generation; 0: none.
+            events: number generated so far.
         """
         expected = self.typical_events
         if guessed_tokens > 0 and self._guessed_tokens:
             expected = guessed_tokens * self._events / self._guessed_tokens
-        return max(expected - events, OUTLIVED_SHARE * events)
+        return max(expected - events, OVERRUN_FRACTION * events)
 
     def relative_length(self, guessed_tokens: int, events: int) -> float:
-        """Return what is still to come as a multiple of a typical generation."""
+        """Return the expected remaining length as a multiple of a typical generation."""
         return self.remaining_events(guessed_tokens, events) / self.typical_events
--- a/tests/jobs/test_length_estimates.py
+++ b/tests/jobs/test_length_estimates.py
@@ -1,17 +1,17 @@
-"""Estimates of how long generations run on."""
+"""Estimates of the length of generations."""
 
 import unittest
 
-from runkeel.jobs.length_estimates import FORGET_EVENTS, UNKNOWN_EVENTS, LengthEstimates
+from runkeel.jobs.length_estimates import DEFAULT_EVENTS, HALVING_EVENTS, LengthEstimates
 
 
 class LengthEstimatesTest(unittest.TestCase):
     def test_nothing_is_known_at_first(self):
         lengths = LengthEstimates()
-        self.assertEqual(lengths.remaining_events(500, 5), UNKNOWN_EVENTS - 5)
+        self.assertEqual(lengths.remaining_events(500, 5), DEFAULT_EVENTS - 5)
         self.assertEqual(lengths.relative_length(500, 0), 1.0)
 
-    def test_guesses_are_turned_into_events(self):
+    def test_guessed_tokens_are_converted_to_events(self):
         lengths = LengthEstimates()
         lengths.observe(500, 10)
         lengths.observe(1500, 30)
@@ -25,15 +25,15 @@
         lengths.observe(1500, 30)
         self.assertAlmostEqual(lengths.remaining_events(0, 0), 20.0)
 
-    def test_generation_that_outlives_its_guess_is_expected_to_go_on(self):
+    def test_generation_that_exceeds_its_guess_is_expected_to_continue(self):
         lengths = LengthEstimates()
         lengths.observe(500, 10)
         self.assertAlmostEqual(lengths.remaining_events(500, 100), 50.0)
 
-    def test_what_was_seen_long_ago_counts_less(self):
+    def test_old_observations_weigh_less(self):
         lengths = LengthEstimates()
         for events in (10, 20):
-            for _ in range(2 * FORGET_EVENTS // events):
+            for _ in range(2 * HALVING_EVENTS // events):
                 lengths.observe(100, events)
         self.assertGreater(lengths.remaining_events(100, 0), 15.0)
 
