--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -36,7 +36,7 @@
 
 SERVICE = "engines"
 DEAD_ADDRESS = Address("127.0.0.1", 1)
-LONGEST_WAIT_SECONDS = 5.0
+MAX_WAIT_SECONDS = 5.0
 
 
 def make_configuration(kind=RouteKind.BATCH, prefix="/allocation/"):
@@ -101,7 +101,7 @@
         self.scheduler.start()
         self.scheduler.add(self.state)
         engine = self.directory.get("e")
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + MAX_WAIT_SECONDS
         while not engine.failures:
             self.assertLess(steady_seconds(), deadline)
             gevent.sleep(0.01)
