--- a/tests/jobs/test_engine_placement.py
+++ b/tests/jobs/test_engine_placement.py
@@ -32,7 +32,7 @@
         chosen = self.placement.choose(self.job, self.job.items[item], SERVICE)
         return chosen.backend_id if chosen is not None else None
 
-    def test_emptiest_engine(self):
+    def test_engine_with_the_fewest_used_slots_is_chosen(self):
         first = self._engine("a")
         self._engine("b")
         self.placement.take(first)
@@ -46,7 +46,7 @@
         self.placement.release(engine)
         self.assertEqual(self._choose(), "a")
 
-    def test_old_weights_loading_and_draining_engines(self):
+    def test_engines_with_old_weights_loading_or_draining_are_not_chosen(self):
         self._engine("old", version=0)
         self._engine("leaving", draining=True)
         self._engine("loading")
@@ -70,10 +70,10 @@
         """Guards against a choice whose cost grows with the size of the fleet."""
         for number in range(10 * MAX_CANDIDATES):
             self._engine(f"e{number}")
-        looked_at = mock.Mock(wraps=self.placement.usable)
-        with mock.patch.object(self.placement, "usable", looked_at):
+        considered = mock.Mock(wraps=self.placement.usable)
+        with mock.patch.object(self.placement, "usable", considered):
             self.assertIsNotNone(self._choose())
-        self.assertLessEqual(looked_at.call_count, MAX_CANDIDATES + 1)
+        self.assertLessEqual(considered.call_count, MAX_CANDIDATES + 1)
 
     def test_the_only_engine_with_a_free_slot_among_many_is_found(self):
         engines = [self._engine(f"e{number}", slots=1) for number in range(10 * MAX_CANDIDATES)]
--- a/tests/jobs/test_engine_speeds.py
+++ b/tests/jobs/test_engine_speeds.py
@@ -23,11 +23,11 @@
         self.assertAlmostEqual(speeds.slowdown("slow"), 3.0)
         self.assertEqual(speeds.slowdown("fast"), 1.0)
 
-    def test_engine_without_events_is_slow(self):
+    def test_engine_without_events_has_the_maximum_slowdown(self):
         speeds = EngineSpeeds()
-        self._observe(speeds, 1.0, fast=0, stuck=3)
-        self._observe(speeds, 2.0, fast=30, stuck=3)
-        self.assertEqual(speeds.slowdown("stuck"), MAX_SLOWDOWN)
+        self._observe(speeds, 1.0, fast=0, stalled=3)
+        self._observe(speeds, 2.0, fast=30, stalled=3)
+        self.assertEqual(speeds.slowdown("stalled"), MAX_SLOWDOWN)
 
     def test_recovered_engine_is_used_again(self):
         speeds = EngineSpeeds()
@@ -47,11 +47,11 @@
         self._observe(speeds, 3.25, fast=81, halted=75)
         self.assertLess(speeds.slowdown("halted"), 1.15)
 
-    def test_estimate_of_a_stuck_engine_is_bounded(self):
+    def test_estimate_of_a_stalled_engine_is_bounded(self):
         speeds = EngineSpeeds()
-        self._observe(speeds, 1.0, fast=0, stuck=3)
-        self._observe(speeds, 2.0, fast=25, stuck=3)
-        self.assertAlmostEqual(speeds.seconds_per_event("stuck"), 0.04 * MAX_SLOWDOWN)
+        self._observe(speeds, 1.0, fast=0, stalled=3)
+        self._observe(speeds, 2.0, fast=25, stalled=3)
+        self.assertAlmostEqual(speeds.seconds_per_event("stalled"), 0.04 * MAX_SLOWDOWN)
 
     def test_estimate_expires(self):
         speeds = EngineSpeeds()
--- a/tests/jobs/test_expiry.py
+++ b/tests/jobs/test_expiry.py
@@ -26,7 +26,7 @@
 MAX_WAIT_SECONDS = 5.0
 
 
-class BusyScorer:
+class UnfinishedScorer:
     """Raises ScoringUnfinishedError a number of times before it succeeds."""
 
     def __init__(self, times):
@@ -68,7 +68,7 @@
         directory = BackendDirectory()
         address = Address("127.0.0.1", 1)
         directory.put(Backend("e", SERVICE, address, "z", 8, False, {"m": 1}))
-        self.scorer = BusyScorer(unfinished)
+        self.scorer = UnfinishedScorer(unfinished)
         scheduler = Scheduler(
             EnginePlacement(directory, lambda *key: False),
             self.routing,
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -94,7 +94,7 @@
         )
         self.addCleanup(self.scheduler.stop)
 
-    def test_engine_that_refuses_connections_is_left_for_longer_than_a_full_one(self):
+    def test_engine_that_refuses_connections_is_avoided_for_longer_than_a_full_one(self):
         """Guards against retrying items on dead engines as often as on full ones."""
         self.routing.apply(make_configuration())
         self._use_protocol(UnreachedProtocol())
@@ -107,7 +107,7 @@
             gevent.sleep(0.01)
         self.assertTrue(engine.avoided(steady_seconds() + REFUSAL_PAUSE_SECONDS))
 
-    def test_waiting_item_goes_on_from_a_longer_text(self):
+    def test_queued_item_resumes_from_the_longer_output(self):
         item_id = f"{JOB_ID}-0"
         self.assertTrue(self.scheduler.lacks_text(item_id, (1, 2)))
         self.scheduler.add(self.state)
@@ -116,12 +116,12 @@
         self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x", "y"])
         self.assertFalse(self.scheduler.lacks_text(item_id, (1, 2)))
 
-    def test_text_of_a_version_that_the_job_does_not_accept_is_not_used(self):
+    def test_output_of_a_version_that_the_job_does_not_accept_is_ignored(self):
         self.scheduler.add(self.state)
         self.scheduler.adopt_text(f"{JOB_ID}-0", PartialText(["x"], "1", [0]))
         self.assertEqual(self.scheduler.open_texts(), {})
 
-    def test_longer_text_of_older_weights_does_not_replace_a_newer_one(self):
+    def test_longer_output_of_older_weights_does_not_replace_a_newer_one(self):
         """Guards against restarting an item because a stale copy of its output is longer."""
         item_id = f"{JOB_ID}-0"
         self.scheduler.keep_texts({item_id: PartialText(["x"], "1", [1])})
@@ -131,7 +131,7 @@
         self.scheduler.add(self.state)
         self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x"])
 
-    def test_running_item_goes_back_to_a_text_that_is_far_ahead(self):
+    def test_running_item_resumes_from_an_output_that_is_far_ahead(self):
         """Partial outputs may arrive after their items have been restarted from the beginning."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
@@ -151,7 +151,7 @@
         self.scheduler._handle_incomplete_run(task, self.scheduler._route(task), RunOutcome.MOVED)
         self.assertIs(self.scheduler._queue.of_item(item_id).partial, far)
 
-    def test_running_item_does_not_go_back_to_a_text_of_older_weights(self):
+    def test_running_item_does_not_resume_from_an_output_of_older_weights(self):
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
         self.scheduler.add(self.state)
@@ -162,19 +162,19 @@
         task.partial.versions.append(2)
         self.assertFalse(self.scheduler.lacks_text(f"{JOB_ID}-0", (1, 50)))
 
-    def test_text_that_comes_before_its_job_is_used(self):
+    def test_output_that_arrives_before_its_job_is_used(self):
         self.scheduler.adopt_text(f"{JOB_ID}-1", PartialText(["x"], "1", [1]))
         self.scheduler.add(self.state)
         self.assertEqual(list(self.scheduler.open_texts()), [f"{JOB_ID}-1"])
 
-    def test_text_of_an_item_that_no_job_names_is_taken_at_the_start_only(self):
+    def test_output_of_an_unknown_item_is_accepted_only_after_the_start(self):
         self.assertTrue(self.scheduler.lacks_text("other", (1, 2)))
         self.scheduler._created_at -= UNKNOWN_ITEM_GRACE_SECONDS
         self.assertFalse(self.scheduler.lacks_text("other", (1, 2)))
         self.scheduler.add(self.state)
         self.assertTrue(self.scheduler.lacks_text(f"{JOB_ID}-0", (1, 2)))
 
-    def test_text_of_a_finished_item_is_open_until_its_result_is_listed(self):
+    def test_output_of_a_finished_item_is_open_until_its_result_is_listed(self):
         task = ItemTask(self.state, self.state.job.items[0], PartialText(["x"], "1", [1], True))
         result = ItemResult(f"{JOB_ID}-0", ResultState.COMPLETED, "x", (1,), "score")
         self.scheduler._finish(task, result)
@@ -194,7 +194,7 @@
         gevent.sleep(0.6)
         self.assertEqual(self.state.unlisted, [])
 
-    def test_items_without_a_route_are_given_up_after_a_while_only(self):
+    def test_items_without_a_route_fail_only_after_the_timeout(self):
         self.routing.apply(make_configuration(prefix="/other/"))
         self.scheduler.add(self.state)
         self.scheduler._place_all()
@@ -204,7 +204,7 @@
         self.scheduler._place_all()
         self.assertEqual(len(self.state.unlisted), len(self.state.items))
 
-    def test_slots_of_items_killed_before_they_begin_are_given_back(self):
+    def test_slots_of_items_killed_before_they_start_are_released(self):
         self.routing.apply(make_configuration())
         self.scheduler.add(self.state)
         self.scheduler._place_all()
@@ -215,7 +215,7 @@
         self.assertEqual(self.placement.load("e"), 0)
         self.assertEqual(list(self.scheduler._running), [])
 
-    def test_reserved_slot_of_an_ended_job_is_given_back(self):
+    def test_reserved_slot_of_an_ended_job_is_released(self):
         self.routing.apply(make_configuration())
         self.scheduler.add(self.state)
         engine = self.directory.get("e")
@@ -227,7 +227,7 @@
         self.scheduler._place_all()
         self.assertEqual(self.placement.load("e"), 0)
 
-    def test_text_of_an_ended_job_is_continued_by_the_next_one(self):
+    def test_output_of_an_ended_job_is_resumed_by_the_next_one(self):
         self.scheduler.add(self.state)
         task = self.scheduler._queue.tasks()[0]
         output = task.partial
@@ -240,13 +240,13 @@
         self.assertTrue(task.resumed)
         self.assertIs(task.partial, output)
 
-    def test_text_of_older_weights_is_not_continued(self):
+    def test_output_of_older_weights_is_not_resumed(self):
         old = PartialText(["x"], "1", [0])
         self.scheduler.keep_texts({f"{JOB_ID}-0": old})
         self.scheduler.add(self.state)
         self.assertEqual(self.scheduler._queue.of_item(f"{JOB_ID}-0").partial.pieces, [])
 
-    def test_looking_for_work_costs_no_more_with_many_waiting_items(self):
+    def test_scheduling_pass_does_not_scale_with_the_number_of_queued_items(self):
         """Guards against a scheduling pass that searches an engine for every waiting item."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
@@ -258,22 +258,22 @@
             self.scheduler._place_all()
         self.assertEqual(choose.call_count, 1)
 
-    def test_item_whose_earlier_run_may_go_on_waits(self):
+    def test_item_whose_earlier_run_may_be_in_flight_waits(self):
         """Guards against running an item twice when an ended job's run is still in flight."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
-        going_on = {f"{JOB_ID}-0"}
+        in_flight = {f"{JOB_ID}-0"}
         self.scheduler.add(self.state)
-        with mock.patch.object(self.scheduler._runner, "goes_on", going_on.__contains__):
+        with mock.patch.object(self.scheduler._runner, "goes_on", in_flight.__contains__):
             self.scheduler._place_all()
             self.assertFalse(self.scheduler._running.has_item(f"{JOB_ID}-0"))
             self.assertEqual(len(self.scheduler._running), len(self.state.items) - 1)
-            going_on.clear()
+            in_flight.clear()
             gevent.sleep(2 * REQUEUE_DELAY_SECONDS)
             self.scheduler._place_all()
         self.assertTrue(self.scheduler._running.has_item(f"{JOB_ID}-0"))
 
-    def test_other_tasks_have_their_turn_while_many_items_start(self):
+    def test_scheduling_pass_yields_while_many_items_start(self):
         """Guards against event loop lag while the items of a large job are started."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
@@ -281,13 +281,13 @@
             backend = Backend(f"e{number}", SERVICE, DEAD_ADDRESS, "z", 8, False, {"m": 1})
             self.directory.put(backend)
         self.scheduler.add(JobState(make_job(items=4 * STARTS_PER_YIELD)))
-        turns = []
-        other = gevent.spawn(lambda: turns.append(len(self.scheduler._running)))
+        yields = []
+        other = gevent.spawn(lambda: yields.append(len(self.scheduler._running)))
         self.scheduler._place_all()
         self.assertTrue(other.ready())
-        self.assertEqual(turns, [STARTS_PER_YIELD])
+        self.assertEqual(yields, [STARTS_PER_YIELD])
 
-    def test_first_items_of_other_jobs_are_placed_when_one_job_finds_no_engine(self):
+    def test_other_jobs_are_scheduled_when_one_job_finds_no_engine(self):
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
         newer = replace(make_job(), job_id="newer", minimum_version=2)
