--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -1,9 +1,9 @@
-"""Elects the coordinator through the store and arranges its succession.
+"""Elects the coordinator through the store and handles its succession.
 
-Every node follows the coordinator's document and pings the coordinator. The coordinator ranks the
-nodes that ping it; when it falls silent, or says that it has lost the store, the first in rank
-replaces it by compare-and-swap. Two nodes may believe to coordinate for a moment: results and
-orders are guarded by their own conditions in the store.
+Every node watches the coordinator's document and pings the coordinator. The coordinator ranks the
+nodes that ping it; when it stops answering, or reports that it has lost the store, the first node
+in rank replaces it by compare-and-swap. Two nodes may briefly both act as coordinator: results and
+orders are protected by conditional writes of their own.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 from runkeel.coordination.peers import LAST_RANK, PeerRegistry
 from runkeel.coordination.pings import PingSender
 from runkeel.coordination.succession import Succession
-from runkeel.coordination.tentative_place import CHECK_SECONDS, TentativePlace
-from runkeel.coordination.told_nodes import ToldNodes
+from runkeel.coordination.tentative_place import STORE_CHECK_INTERVAL_SECONDS, TentativeTerm
+from runkeel.coordination.told_nodes import AdvertisedNodes
 from runkeel.coordination.witnesses import reached_by_others
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.handoff.keeper_quorum import Keeper, KnownKeepers
@@ -53,66 +53,60 @@
 )
 from runkeel.wire.network import PeerNetwork
 
-PING_SECONDS = 0.5
-FIRST_PING_SECONDS = 0.25
-"""Pause between pings of the first in rank: a silence is counted from the first that fails."""
+PING_INTERVAL_SECONDS = 0.5
+FIRST_RANK_PING_INTERVAL_SECONDS = 0.25
+"""Ping interval of the first node in rank; shorter, as it replaces the coordinator first."""
 
-SLOW_PING_SECONDS = 1.0
-"""Pause between pings of nodes out of rank, which do not take over first.
+UNRANKED_PING_INTERVAL_SECONDS = 1.0
+"""Minimum ping interval of unranked nodes, which do not take over first."""
 
-Chosen: twice the others' pause.
-"""
-
-PINGS_PER_SECOND = 60
-"""Nodes out of rank ping less often when there are so many that more pings would come."""
+MAX_UNRANKED_PINGS_PER_SECOND = 60
+"""Bound on the pings of all unranked nodes together; their interval grows with their number."""
 
-SILENT_PINGS = 2.2
-"""A node that has missed two pings may be down or cut off."""
+SILENT_PING_INTERVALS = 2.2
+"""A node counts as silent after this many ping intervals without a ping."""
 
-FAILING_PING_SECONDS = 0.05
-"""Pause between pings while they fail."""
+PING_RETRY_SECONDS = 0.05
+"""Ping interval while pings fail."""
 
-VERIFY_SECONDS = 0.7
-"""The coordinator has the store confirm its place so often, by a watch that waits so long."""
+VERIFY_WATCH_SECONDS = 0.7
+"""Duration of one watch of the coordinator's document, by which the store confirms its term."""
 
-VERIFIED_SECONDS = 1.0
-"""A confirmation counts for so long: results may be missing at a node for a second only."""
+VERIFICATION_VALID_SECONDS = 1.0
+"""How long a confirmation by the store stays valid."""
 
-WITNESS_SECONDS = 0.8
-"""Longest wait for what the witnesses say. Chosen: a little over two pings' time-outs."""
+WITNESS_TIMEOUT_SECONDS = 0.8
+"""Timeout of the queries to witnesses, which ping the coordinator themselves."""
 
-ASKED_SUCCESSORS = 2
-"""So many are asked; where both are lost as well, the store tells."""
+MAX_QUERIED_SUCCESSORS = 2
+"""Number of successors to query; if none of them answers, the store is read."""
 
 KEEPERS_TOLD_SECONDS = 3.0
-"""A node that has started may not have been told of all that keep jobs until then.
+"""How long after its start a node's list of keepers may be incomplete."""
 
-It pings at once; a coordinator that has started with it hears of the others within 2 s.
-"""
+SUCCESSOR_QUERY_INTERVAL_SECONDS = 0.2
+"""Interval between queries to the likeliest successors, as all nodes query the same ones."""
 
-ASK_SUCCESSORS_SECONDS = 0.2
-"""Pause between questions to the likeliest successors: all nodes ask them at once."""
+MAX_PREDECESSOR_PINGS = 30
+"""Attempts to notify the replaced coordinator of the new epoch."""
 
-PREDECESSOR_PINGS = 30
-START_SPREAD_SECONDS = 0.3
-"""Nodes that start at once claim the place spread over so long. Chosen, not measured."""
+START_JITTER_SECONDS = 0.3
+"""Maximum random delay before the first claim of a node, so that starting nodes don't collide."""
 
-PREFERENCE_SECONDS = 1.5
-"""So much longer a node that isn't preferred waits at a start without a coordinator."""
+NOT_PREFERRED_START_DELAY_SECONDS = 1.5
+"""Delay of a node that is not preferred when it starts and there is no coordinator."""
 
-CLAIM_SECONDS = 0.6
-"""Longest wait for the answer to a claim; one that comes to be taken later is recognized.
+CLAIM_TIMEOUT_SECONDS = 0.6
+"""Timeout of a claim; a claim that the store applies after that is still recognized."""
 
-A store that is 85 times slower than usual answers in 0.35 s.
-"""
+STORE_PROBE_TIMEOUT_SECONDS = 0.5
+"""Timeout of the probe by which a node checks the store while the coordinator does not answer.
 
-STORE_PROBE_SECONDS = 0.5
-"""Longest wait of a node in rank that asks, while the coordinator is silent, whether it would be
-answered by the store: in an outage nobody can replace the coordinator, and items should go on.
+During a store outage no node can replace the coordinator, and a tentative term may be needed.
 """
 
 _CLAIM_RETRY_SECONDS = 0.3
-"""Pause before a claim that the store did not answer is tried again. Chosen, not measured."""
+"""Pause before an unanswered claim is retried, and longest one after a conflicting claim."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,8 +114,8 @@
     """A node that may coordinate.
 
     Attributes:
-        shard: what it coordinates.
-        preferred: it should coordinate rather than one that is not preferred.
+        shard: name of the coordinator's document.
+        preferred: whether it takes precedence over nodes that are not preferred.
     """
 
     node_id: str
@@ -130,39 +124,40 @@
     preferred: bool
 
 
-class LeaseTold(Protocol):
-    """What an election passes on of the order lease, so that a successor can claim it soon."""
+class LeaseConfirmations(Protocol):
+    """Confirmations of the order lease, exchanged in pings to shorten a successor's wait."""
 
     @property
     def confirmation(self) -> tuple[int, float]:
         """Revision of this node's last confirmed lease, and its age in seconds."""
 
     def observe(self, revision: int, age_seconds: float) -> None:
-        """Take what the coordinator told of its lease."""
+        """Record the coordinator's last confirmation of its lease."""
 
 
-class Terms(Protocol):
-    """What happens when this node becomes coordinator, and when it no longer is."""
+class TermHandler(Protocol):
+    """Starts and stops the work of a term of this node."""
 
     def begin_tentative_term(self, epoch: int) -> None:
-        """Run items on while the store is away, in a term that it has still to confirm."""
+        """Run open items while the store is unreachable, in a term that it has yet to confirm."""
 
     def begin_term(self, epoch: int) -> None:
-        """Coordinate from now on; a tentative term of this epoch is confirmed."""
+        """Start to coordinate; a tentative term of this epoch is confirmed by it."""
 
     def end_term(self) -> None:
-        """Coordinate no more, or run items on no more."""
+        """Stop to coordinate, or end a tentative term."""
 
 
 class Election:
-    """Follows and, when it is this node's turn, takes the coordinator's place.
+    """Follows the coordinator and replaces it when this node is due.
 
     Args:
-        store_reachable: whether the store has answered this node's last call.
-        store_needed: set while the store has to be asked for the coordinator's document; None:
+        store_reachable: returns whether the store has answered this node's last call.
+        store_needed: set while the coordinator's document has to be read from the store; None:
             always.
-        quarantine_digest: of what this node knows of requests under which servers ended.
-        on_quarantine_digest: called with the coordinator's name and its digest.
+        quarantine_digest: returns the digest of this node's records of requests that crashed
+            servers.
+        on_quarantine_digest: called with the coordinator's name and the digest that it sent.
     """
 
     def __init__(
@@ -170,8 +165,8 @@
         store: DocumentStore,
         network: PeerNetwork,
         candidate: Candidate,
-        lease: LeaseTold,
-        terms: Terms,
+        lease: LeaseConfirmations,
+        term_handler: TermHandler,
         store_reachable: Callable[[], bool],
         store_needed: Event | None = None,
         quarantine_digest: Callable[[], int] = lambda: 0,
@@ -187,26 +182,28 @@
         self._pings = PingSender(network, candidate.shard, candidate.preferred, own_address)
         self._store_reachable = store_reachable
         self._lease = lease
-        self._terms = terms
+        self._term_handler = term_handler
         self._succession = Succession(candidate.preferred, self._reaches_store)
         self._watcher = DocumentWatcher(
             store,
             DocumentKind.COORDINATOR,
-            self._changed,
+            self._on_document_changed,
             watch_seconds=self._watch_seconds,
             needed=store_needed,
-            # Who may have to take over at once wants to know whether it reaches the store.
-            resting_probe_seconds=PING_SECONDS if self._preferred else RESTING_PROBE_SECONDS,
-            # An old list may name a coordinator that was replaced; a claim is decided by the
-            # store, on condition of the revision that it replaces.
+            # A preferred node may have to take over at once, so it checks the store more often.
+            resting_probe_seconds=PING_INTERVAL_SECONDS
+            if self._preferred
+            else RESTING_PROBE_SECONDS,
+            # A stale list may name a replaced coordinator; a claim based on it is rejected by the
+            # store, as it is conditional on the replaced revision.
             first_list=Freshness.ANY_AGE,
         )
         self._coordinator: Coordinator | None = None
         self._listeners: list[Callable[[], None]] = []
         self._epoch = 0
-        """Epoch in which this node coordinates, 0 when it does not."""
-        self._unanswered_epoch = 0
-        """Epoch that it has claimed and of which the store has not answered yet; 0: none."""
+        """Epoch of this node's term; 0: it does not coordinate."""
+        self._pending_claim_epoch = 0
+        """Epoch of a claim that the store has not answered; 0: none."""
         self._peers = PeerRegistry(candidate.zone)
         self._overlay = Overlay(
             lambda: [*self._peers.addresses(), self._pings.own_address], lambda: len(self._peers)
@@ -214,23 +211,23 @@
         self._quarantine_digest = quarantine_digest
         self._on_quarantine_digest = on_quarantine_digest
         self._predecessor: Coordinator | None = None
-        self._told = ToldNodes()
-        self._tentative = TentativePlace(
+        self._advertised = AdvertisedNodes()
+        self._tentative = TentativeTerm(
             candidate.node_id,
             candidate.preferred,
             self._pings,
-            self._told,
+            self._advertised,
             self._succession,
-            self._witnessed,
-            terms.begin_tentative_term,
-            terms.end_term,
+            self._reached_by_witnesses,
+            term_handler.begin_tentative_term,
+            term_handler.end_term,
         )
-        self._asked_successors_at = 0.0
+        self._successors_queried_at = 0.0
         self._started_at = steady_seconds()
         self._store_probed = False
-        """Whether the store was asked since the coordinator was last heard."""
+        """Whether the store was probed since the coordinator last served."""
         self._stopping = False
-        self._gained_at = 0.0
+        self._coordinating_since = 0.0
         self._task: gevent.Greenlet | None = None
         self._starter: gevent.Greenlet | None = None
         network.on_call(MessageType.COORDINATOR_PING, CoordinatorPing, self._answer_ping)
@@ -238,22 +235,21 @@
 
     @property
     def watcher(self) -> DocumentWatcher:
-        """Follows the coordinator's document."""
+        """Watcher of the coordinator's document."""
         return self._watcher
 
     @property
     def node_id(self) -> str:
-        """This node's name."""
         return self._node_id
 
     @property
     def coordinator(self) -> Coordinator | None:
-        """The coordinator as this node knows it."""
+        """The latest coordinator known to this node."""
         return self._coordinator
 
     @property
     def other_coordinator(self) -> Coordinator | None:
-        """The coordinator as this node knows it, None when that is this node."""
+        """The latest coordinator known to this node; None if that is this node."""
         known = self._coordinator
         if self.coordinating or known is None or known.node_id == self._node_id:
             return None
@@ -266,61 +262,63 @@
 
     @property
     def coordinating_since(self) -> float | None:
-        """Steady time at which this node became coordinator; None: it is not."""
-        return self._gained_at if self.coordinating else None
+        """Steady time at which this node became coordinator; None: it is not the coordinator."""
+        return self._coordinating_since if self.coordinating else None
 
     @property
     def verified(self) -> bool:
-        """Whether the store said a moment ago that this node is the coordinator."""
-        age = steady_seconds() - max(self._watcher.fresh_at, self._gained_at)
-        return self.coordinating and age <= VERIFIED_SECONDS
+        """Whether the store has confirmed recently that this node is the coordinator."""
+        age = steady_seconds() - max(self._watcher.fresh_at, self._coordinating_since)
+        return self.coordinating and age <= VERIFICATION_VALID_SECONDS
 
     def note_successor(self, address: NodeAddress, epoch: int) -> None:
-        """Take note of a later coordinator, as told by itself or by the one before it.
+        """Record a later coordinator, as announced by itself or by its predecessor.
 
-        It need not be read from the store: who claims its place is held to the document there.
+        This is safe without a read of the store: claims are conditional on the stored document.
         """
         known = self._coordinator
         if known is not None and known.epoch >= epoch:
             return
-        told = Coordinator(address.node_id, Address.parse(address.address), address.zone, epoch)
-        self._know(told)
+        announced = Coordinator(
+            address.node_id, Address.parse(address.address), address.zone, epoch
+        )
+        self._set_coordinator(announced)
 
     def on_coordinator(self, listener: Callable[[], None]) -> None:
-        """Have a listener called whenever another term is known, however it was told."""
+        """Add a listener that is called whenever a new term becomes known, from any source."""
         self._listeners.append(listener)
 
     @property
     def known_successor(self) -> Coordinator | None:
-        """The coordinator that replaced this node, None when it has not been told of one."""
+        """The coordinator that replaced this node; None: none is known."""
         return None if self.coordinating else self.other_coordinator
 
     def superseded(self, reason: str) -> None:
-        """Give up the place: another coordinator's work has been seen."""
+        """Step down: another coordinator has acted."""
         self._step_down(reason)
         self._watcher.rewatch()
 
     def copy_holders(self, keepers: bool = True) -> list[str]:
-        """Return the nodes that get copies of what runs here; see :class:`PeerRegistry`."""
+        """Return the nodes that hold copies of the running items; see :class:`PeerRegistry`."""
         return self._peers.copy_holders(keepers)
 
     def peers(self) -> list[NodeAddress]:
-        """Return the nodes that have pinged this coordinator lately."""
+        """Return the addresses of the nodes that have pinged this coordinator recently."""
         return self._peers.addresses()
 
     @property
     def tentative(self) -> bool:
-        """Whether this node runs items on until the store is back."""
+        """Whether this node is in a tentative term."""
         return self._tentative.epoch > 0
 
     def likely_successors(self) -> list[str]:
-        """Return the nodes that get copies of the open jobs: those that are asked first."""
-        return [one.node_id for one in self._peers.successors()[:ASKED_SUCCESSORS]]
+        """Return the nodes that hold copies of the open jobs: those that are queried first."""
+        return [one.node_id for one in self._peers.successors()[:MAX_QUERIED_SUCCESSORS]]
 
     def keepers(self) -> KnownKeepers:
-        """Return the nodes that keep jobs for the store: the coordinator and its successors."""
+        """Return the nodes that keep jobs on behalf of the store: coordinator and successors."""
         known = self._coordinator
-        keepers = [Keeper(one.node_id, one.zone) for one in self._told.successor_addresses]
+        keepers = [Keeper(one.node_id, one.zone) for one in self._advertised.successor_addresses]
         if self.coordinating:
             own_successors = [Keeper(one.node_id, one.zone) for one in self._peers.successors()]
             keepers = [Keeper(self._node_id, self._zone), *own_successors, *keepers]
@@ -328,35 +326,35 @@
             own = [Keeper(self._node_id, self._zone)] if self._preferred else []
             leading = [Keeper(known.node_id, known.zone)] if known is not None else []
             keepers = [*own, *leading, *keepers]
-        told = self.coordinating or self._told.heard
+        complete = self.coordinating or self._advertised.received_any
         settled = steady_seconds() - self._started_at >= KEEPERS_TOLD_SECONDS
-        # The same machine may be known by more than one of these.
+        # A node may appear in more than one of these lists; the first entry counts.
         distinct = {one.node_id: one for one in reversed(keepers)}
-        return KnownKeepers(tuple(reversed(distinct.values())), told and settled)
+        return KnownKeepers(tuple(reversed(distinct.values())), complete and settled)
 
     @property
     def silent_peers(self) -> int:
-        """Nodes that pinged this coordinator lately and have fallen silent."""
-        return self._peers.silent(SILENT_PINGS * self._slow_pause())
+        """Number of nodes that have stopped to ping this coordinator recently."""
+        return self._peers.count_silent(SILENT_PING_INTERVALS * self._unranked_ping_interval())
 
     def neighbours(self) -> list[str]:
-        """Return the nodes that this one tells its news to, as last told by a coordinator."""
+        """Return the nodes to which this node sends updates, as last assigned by a coordinator."""
         if self.coordinating:
             known = self._overlay.neighbours(self._node_id)
         else:
-            known = self._told.neighbours
+            known = self._advertised.neighbours
         return [one.node_id for one in known]
 
     @property
     def own_address(self) -> NodeAddress:
-        """Where this node is reached by its peers."""
+        """Address at which peers reach this node."""
         return self._pings.own_address
 
     @property
     def known_epoch(self) -> int:
-        """The latest term that this node has heard of."""
-        told = self._coordinator.epoch if self._coordinator is not None else 0
-        return max(told, self._epoch)
+        """Epoch of the latest term known to this node."""
+        announced = self._coordinator.epoch if self._coordinator is not None else 0
+        return max(announced, self._epoch)
 
     def peer_address(self, node_id: str) -> tuple[Address, str] | None:
         """Return the address and zone of a node, for the peer network."""
@@ -366,14 +364,15 @@
         before = self._predecessor
         if before is not None and before.node_id == node_id:
             return before.address, before.zone
-        told = self._peers.address(node_id) or self._told.address(node_id)
-        return None if told is None else (Address.parse(told.address), told.zone)
+        found = self._peers.address(node_id) or self._advertised.address(node_id)
+        return None if found is None else (Address.parse(found.address), found.zone)
 
     def start(self, peer_address: Address, delay_seconds: float = 0.0) -> None:
-        """Start to follow and to ping; ``peer_address`` is where this node is reached.
+        """Start to follow and to ping the coordinator.
 
         Args:
-            delay_seconds: the store is first asked for the coordinator after so long.
+            peer_address: address at which peers reach this node.
+            delay_seconds: delay before the coordinator's document is first read.
         """
         self._pings.own_address = NodeAddress(self._node_id, str(peer_address), self._zone)
         if delay_seconds > 0:
@@ -383,168 +382,174 @@
         self._task = gevent.spawn(self._run)
 
     def leave(self) -> None:
-        """Stop coordinating as planned, so that a successor steps in at once."""
+        """Step down for a planned stop, so that a successor can take over at once."""
         self._stopping = True
-        self._tentative.end("this node stops")
-        self._step_down("this node stops")
+        self._tentative.end("this node is stopping")
+        self._step_down("this node is stopping")
 
     def stop(self) -> None:
-        """End the tasks."""
+        """Stop the background tasks."""
         if self._starter is not None:
             self._starter.kill(block=False)
         self._watcher.stop()
         if self._task is not None:
             self._task.kill(block=False)
 
-    def _changed(self, document: Document, removed: bool) -> None:
+    def _on_document_changed(self, document: Document, removed: bool) -> None:
         if removed or document.name != self._shard:
             return
-        told = Coordinator.from_document(document)
-        if self._coordinator is not None and told.epoch < self._coordinator.epoch:
-            # Its successor has told of itself before the store's news came.
+        announced = Coordinator.from_document(document)
+        if self._coordinator is not None and announced.epoch < self._coordinator.epoch:
+            # The store's update is older than what a later coordinator has announced.
             return
-        self._know(told)
+        self._set_coordinator(announced)
 
-    def _know(self, told: Coordinator) -> None:
-        """Go by a coordinator, and step down for one of a later term."""
+    def _set_coordinator(self, announced: Coordinator) -> None:
+        """Adopt a coordinator, and step down if its term is later than this node's."""
         before = self._coordinator
-        self._coordinator = told
-        if self._epoch and told.epoch > self._epoch:
-            self._step_down(f"{told.node_id} took over")
-        if told.epoch >= self._tentative.epoch and not self._is_own(told):
-            self._tentative.end(f"{told.node_id} took over")
-        if before is None or before.epoch != told.epoch:
+        self._coordinator = announced
+        if self._epoch and announced.epoch > self._epoch:
+            self._step_down(f"{announced.node_id} took over")
+        if announced.epoch >= self._tentative.epoch and not self._is_pending_claim(announced):
+            self._tentative.end(f"{announced.node_id} took over")
+        if before is None or before.epoch != announced.epoch:
             for listener in self._listeners:
                 listener()
 
     def _run(self) -> None:
         self._watcher.listed.wait()
         if self._coordinator is None or self._coordinator.node_id != self._node_id:
-            gevent.sleep(random.uniform(0.0, START_SPREAD_SECONDS))
+            gevent.sleep(random.uniform(0.0, START_JITTER_SECONDS))
         if not self._preferred and self._coordinator is None:
-            gevent.sleep(PREFERENCE_SECONDS)
+            gevent.sleep(NOT_PREFERRED_START_DELAY_SECONDS)
         self._succession.note_contact()
         seen_epoch = 0
         while True:
             known = self._coordinator
             if self._stopping or self.coordinating:
                 self._succession.note_contact()
-                gevent.sleep(PING_SECONDS)
+                gevent.sleep(PING_INTERVAL_SECONDS)
                 continue
-            if known is not None and self._is_own(known):
-                self._gain(known.epoch, "the store has taken an earlier claim")
+            if known is not None and self._is_pending_claim(known):
+                self._become_coordinator(known.epoch, "the store has applied an earlier claim")
                 continue
             if known is None or known.node_id == self._node_id:
                 self._claim(known, "no other coordinator")
                 continue
             if known.epoch != seen_epoch:
                 seen_epoch = known.epoch
-                self._succession.begin()
+                self._succession.reset()
             if self.tentative:
                 gevent.sleep(self._confirm_tentative(known))
                 continue
             gevent.sleep(self._follow(known))
 
     def _confirm_tentative(self, known: Coordinator) -> float:
-        """Claim the place once the store is back; returns when to look again.
+        """Claim the term once the store is reachable; returns the pause in seconds until a retry.
 
-        A coordinator that turns out to serve keeps its place.
+        The tentative term ends if the coordinator turns out to serve.
         """
         pong = self._pings.ping(known.node_id, known.epoch)
         if pong is not None and pong.coordinator:
             self._tentative.end(f"{known.node_id} serves")
             self._succession.note_contact()
         elif self._reaches_store():
-            self._claim(known, "the store is back")
-        elif self._tentative.comes_second(known):
-            self._tentative.end("another node runs items, too")
-        return CHECK_SECONDS
+            self._claim(known, "the store is reachable again")
+        elif self._tentative.loses_tie(known):
+            self._tentative.end("another tentative term takes precedence")
+        return STORE_CHECK_INTERVAL_SECONDS
 
     def _follow(self, known: Coordinator) -> float:
-        """Ping the coordinator, replace it if that is due; returns when to ping again."""
-        asked_at = steady_seconds()
+        """Ping the coordinator and replace it if due; returns the pause in seconds until a ping."""
+        pinged_at = steady_seconds()
         pong = self._pings.ping(known.node_id, known.epoch)
-        pause = PING_SECONDS
+        pause = PING_INTERVAL_SECONDS
         if pong is not None:
             pause = pong.interval_ms / 1000.0
             self._lease.observe(pong.lease_revision, pong.lease_age_ms / 1000.0)
-            self._take_told(known, pong)
+            self._record_advertised(known, pong)
             if pong.coordinator and (pong.epoch or 0) > known.epoch:
-                # It has restarted, and coordinates in a later term.
+                # It has restarted and coordinates in a later term.
                 address = NodeAddress(known.node_id, str(known.address), known.zone)
                 self.note_successor(address, pong.epoch)
-        # Time in which this process itself stood still doesn't count.
-        asked_at = max(asked_at, steady_seconds() - pings.PING_TIMEOUT_SECONDS)
-        if self._succession.serves(pong):
+        # Don't count time in which this process itself was stalled.
+        pinged_at = max(pinged_at, steady_seconds() - pings.PING_TIMEOUT_SECONDS)
+        if self._succession.is_serving(pong):
             self._succession.note_contact()
             self._store_probed = False
             return pause
         if pong is None and self._preferred and not self._store_probed:
             self._store_probed = True
             gevent.spawn(self._probe_store)
-        if not self._succession.is_due(pong, asked_at):
+        if not self._succession.is_due(pong, pinged_at):
             if self._succession.may_be_replaced:
-                self._ask_successors(known)
+                self._query_successors(known)
             if pong is None and self._tentative.may_begin(known):
                 self._tentative.begin(known)
-            return FAILING_PING_SECONDS if pong is None else PING_SECONDS / 2
-        if pong is None and self._witnessed(known):
+            return PING_RETRY_SECONDS if pong is None else PING_INTERVAL_SECONDS / 2
+        if pong is None and self._reached_by_witnesses(known):
             logger.info(
-                "coordinator reached by others",
+                "coordinator is reachable by other nodes; not replacing it",
                 code="coordinator_witnessed",
                 coordinator=known.node_id,
                 epoch=known.epoch,
                 silent_ms=int(self._succession.silent_seconds * 1000),
             )
             self._succession.note_contact()
-            return PING_SECONDS
-        if pong is None and self._tentative.yields(known):
-            return CHECK_SECONDS
+            return PING_INTERVAL_SECONDS
+        if pong is None and self._tentative.defers_claim(known):
+            return STORE_CHECK_INTERVAL_SECONDS
         if self._coordinator is known:
             silent = self._succession.silent_seconds
             self._claim(known, f"{known.node_id} silent for {silent:.1f} s")
         return 0.0
 
-    def _take_told(self, known: Coordinator, pong: CoordinatorPong) -> None:
-        """Take what the coordinator tells of other nodes and of requests that are held back."""
-        self._told.note(pong)
-        self._pings.neighbours_digest = neighbours_digest(self._told.neighbours)
+    def _record_advertised(self, known: Coordinator, pong: CoordinatorPong) -> None:
+        """Record the nodes named in an answer, and pass on its quarantine digest."""
+        self._advertised.record(pong)
+        self._pings.neighbours_digest = neighbours_digest(self._advertised.neighbours)
         if pong.coordinator:
             self._on_quarantine_digest(known.node_id, pong.quarantine_digest or 0)
 
-    def _is_own(self, told: Coordinator) -> bool:
-        """Return whether a coordinator's document is a claim of this process, unanswered so far."""
-        return told.node_id == self._node_id and told.epoch == self._unanswered_epoch
+    def _is_pending_claim(self, announced: Coordinator) -> bool:
+        """Return whether a coordinator is this process's own claim that is still unanswered."""
+        return announced.node_id == self._node_id and announced.epoch == self._pending_claim_epoch
 
     def _probe_store(self) -> None:
-        """Find out in time whether the store answers; its calls note how they end."""
+        """Call the store, so that its reachability, which each call updates, is current."""
         try:
-            self._store.get(DocumentKind.COORDINATOR, self._shard, STORE_PROBE_SECONDS)
+            self._store.get(DocumentKind.COORDINATOR, self._shard, STORE_PROBE_TIMEOUT_SECONDS)
         except RunkeelError as error:
             logger.info(
-                "store not reached while the coordinator is silent",
+                "store did not answer a probe while the coordinator is silent",
                 code="store_probe",
                 error=str(error.code),
             )
 
-    def _ask_successors(self, known: Coordinator) -> None:
-        """Ask the likeliest successors whether one of them coordinates now.
+    def _query_successors(self, known: Coordinator) -> None:
+        """Query the likeliest successors whether one of them coordinates now.
 
-        The store would tell as well; but a call to it has its price, and each node would make some.
+        This saves calls to the store, which every node would make at the same time.
         """
         now = steady_seconds()
-        if now - self._asked_successors_at < ASK_SUCCESSORS_SECONDS:
+        if now - self._successors_queried_at < SUCCESSOR_QUERY_INTERVAL_SECONDS:
             return
-        self._asked_successors_at = now
-        others = [one for one in self._told.successors if one not in (self._node_id, known.node_id)]
-        answers = self._pings.ping_all(others[:ASKED_SUCCESSORS], known.epoch)
+        self._successors_queried_at = now
+        others = [
+            one for one in self._advertised.successors if one not in (self._node_id, known.node_id)
+        ]
+        answers = self._pings.ping_all(others[:MAX_QUERIED_SUCCESSORS], known.epoch)
         for node_id, pong in answers.items():
             if pong.coordinator and pong.epoch > known.epoch:
-                self.note_successor(self._told.address(node_id), pong.epoch)
-
-    def _witnessed(self, known: Coordinator) -> bool:
-        others = [one for one in self._told.witnesses if one not in (self._node_id, known.node_id)]
-        return reached_by_others(self._network, self._shard, known.epoch, others, WITNESS_SECONDS)
+                self.note_successor(self._advertised.address(node_id), pong.epoch)
+
+    def _reached_by_witnesses(self, known: Coordinator) -> bool:
+        others = [
+            one for one in self._advertised.witnesses if one not in (self._node_id, known.node_id)
+        ]
+        return reached_by_others(
+            self._network, self._shard, known.epoch, others, WITNESS_TIMEOUT_SECONDS
+        )
 
     def _answer_witness(
         self, peer: str, message: CoordinatorWitness
@@ -553,12 +558,12 @@
         serving = self.coordinating
         if known is not None and known.epoch >= message.epoch and not serving:
             pong = self._pings.ping(known.node_id, known.epoch)
-            serving = self._succession.serves(pong)
+            serving = self._succession.is_serving(pong)
         reply = CoordinatorWitnessReply(serving)
         return MessageType.COORDINATOR_WITNESS_REPLY, reply
 
     def _watch_seconds(self) -> float:
-        return VERIFY_SECONDS if self.coordinating else WATCH_SECONDS
+        return VERIFY_WATCH_SECONDS if self.coordinating else WATCH_SECONDS
 
     def _reaches_store(self) -> bool:
         return self._watcher.reachable and self._store_reachable()
@@ -568,10 +573,10 @@
             self.note_successor(ping.sender, ping.epoch)
         if self._epoch and ping.epoch > self._epoch:
             self._step_down(f"{peer} knows epoch {ping.epoch}")
-        rank = self._peers.note(peer, ping.sender, ping.preferred)
-        interval = PING_SECONDS if rank else FIRST_PING_SECONDS
+        rank = self._peers.record_ping(peer, ping.sender, ping.preferred)
+        interval = PING_INTERVAL_SECONDS if rank else FIRST_RANK_PING_INTERVAL_SECONDS
         if rank == LAST_RANK:
-            interval = self._slow_pause()
+            interval = self._unranked_ping_interval()
         lease_revision, lease_age = self._lease.confirmation
         pong = CoordinatorPong(
             self.coordinating,
@@ -584,91 +589,96 @@
             self._peers.successors(),
             self._epoch,
             self.tentative,
-            self._neighbours_unknown_to(peer, ping),
+            self._changed_neighbours(peer, ping),
             self._quarantine_digest(),
         )
         return MessageType.COORDINATOR_PONG, pong
 
-    def _neighbours_unknown_to(self, peer: str, ping: CoordinatorPing) -> list[NodeAddress] | None:
-        """Return a node's neighbours, None where it knows them already."""
+    def _changed_neighbours(self, peer: str, ping: CoordinatorPing) -> list[NodeAddress] | None:
+        """Return a node's neighbours; None if its digest shows that it knows them."""
         if not self.coordinating:
             return None
         neighbours = self._overlay.neighbours(peer)
         same = neighbours_digest(neighbours) == (ping.neighbours_digest or 0)
         return None if same else neighbours
 
-    def _slow_pause(self) -> float:
-        """Return the time between pings of nodes out of rank."""
-        return max(SLOW_PING_SECONDS, len(self._peers) / PINGS_PER_SECOND)
+    def _unranked_ping_interval(self) -> float:
+        """Return the ping interval of unranked nodes, in seconds."""
+        return max(UNRANKED_PING_INTERVAL_SECONDS, len(self._peers) / MAX_UNRANKED_PINGS_PER_SECOND)
 
     def _claim(self, known: Coordinator | None, reason: str) -> None:
-        """Take the place of the coordinator that was found wanting, not of a later one."""
+        """Claim the term after ``known``; the store rejects the claim if a later one exists."""
         epoch = (known.epoch if known else 0) + 1
         address = Address.parse(self._pings.own_address.address)
         claim = Coordinator(self._node_id, address, self._zone, epoch)
-        # The watch may bring this claim before the answer comes.
-        unanswered_before, self._unanswered_epoch = self._unanswered_epoch, epoch
+        # The watch may deliver this claim before the store answers.
+        pending_before, self._pending_claim_epoch = self._pending_claim_epoch, epoch
         try:
-            claim.write(self._store, self._shard, known, CLAIM_SECONDS)
+            claim.write(self._store, self._shard, known, CLAIM_TIMEOUT_SECONDS)
         except DocumentConflictError as conflict:
-            if self._claimed_already(conflict.current, epoch):
-                self._gain(epoch, reason)
+            if self._was_claim_applied(conflict.current, epoch):
+                self._become_coordinator(epoch, reason)
                 return
-            self._unanswered_epoch = 0
+            self._pending_claim_epoch = 0
             if conflict.current is not None:
-                self._changed(conflict.current, removed=False)
+                self._on_document_changed(conflict.current, removed=False)
             gevent.sleep(random.uniform(0.0, _CLAIM_RETRY_SECONDS))
             return
         except RunkeelError as error:
             if error.verdict is Verdict.NOT_RUN:
-                self._unanswered_epoch = unanswered_before
+                self._pending_claim_epoch = pending_before
             logger.info(
-                "place not claimed", code="claim_failed", epoch=epoch, error=str(error.code)
+                "could not claim the coordinator's term",
+                code="claim_failed",
+                epoch=epoch,
+                error=str(error.code),
             )
             gevent.sleep(_CLAIM_RETRY_SECONDS)
             return
-        self._gain(epoch, reason)
+        self._become_coordinator(epoch, reason)
         if known is not None and known.node_id != self._node_id:
             self._predecessor = known
-            gevent.spawn(self._tell_predecessor, known, epoch)
+            gevent.spawn(self._notify_predecessor, known, epoch)
 
-    def _claimed_already(self, document: Document | None, epoch: int) -> bool:
-        """Return whether the store has taken a claim of this process that it did not answer."""
-        if document is None or document.name != self._shard or epoch != self._unanswered_epoch:
+    def _was_claim_applied(self, document: Document | None, epoch: int) -> bool:
+        """Return whether the store holds this process's claim, although the answer was lost."""
+        if document is None or document.name != self._shard or epoch != self._pending_claim_epoch:
             return False
-        told = Coordinator.from_document(document)
-        if told.epoch != epoch or not self._is_own(told):
+        announced = Coordinator.from_document(document)
+        if announced.epoch != epoch or not self._is_pending_claim(announced):
             return False
-        self._coordinator = told
+        self._coordinator = announced
         return True
 
-    def _gain(self, epoch: int, reason: str) -> None:
+    def _become_coordinator(self, epoch: int, reason: str) -> None:
         if self._tentative.epoch == epoch:
-            self._tentative.confirmed()
+            self._tentative.confirm()
         else:
-            self._tentative.end("another term begins")
-        self._epoch, self._unanswered_epoch = epoch, 0
-        self._gained_at = steady_seconds()
+            self._tentative.end("a different term began")
+        self._epoch, self._pending_claim_epoch = epoch, 0
+        self._coordinating_since = steady_seconds()
         self._watcher.rewatch()
         self._peers.clear()
         COORDINATING.labels(self._shard).set(1)
-        logger.info("coordinating", code="coordinator_gained", epoch=epoch, reason=reason)
-        self._terms.begin_term(epoch)
+        logger.info("became coordinator", code="coordinator_gained", epoch=epoch, reason=reason)
+        self._term_handler.begin_term(epoch)
 
-    def _tell_predecessor(self, predecessor: Coordinator, epoch: int) -> None:
-        """Ping the node before with the new epoch, in case it doesn't hear of it by the store."""
-        for _ in range(PREDECESSOR_PINGS):
+    def _notify_predecessor(self, predecessor: Coordinator, epoch: int) -> None:
+        """Ping the predecessor with the new epoch, in case it can't read it from the store."""
+        for _ in range(MAX_PREDECESSOR_PINGS):
             if self._epoch != epoch:
                 return
             if self._pings.ping(predecessor.node_id, epoch, coordinating=True) is not None:
                 return
-            gevent.sleep(PING_SECONDS)
+            gevent.sleep(PING_INTERVAL_SECONDS)
 
     def _step_down(self, reason: str) -> None:
         if not self._epoch:
             return
-        logger.info("not coordinating", code="coordinator_lost", epoch=self._epoch, reason=reason)
+        logger.info(
+            "stepped down as coordinator", code="coordinator_lost", epoch=self._epoch, reason=reason
+        )
         self._epoch = 0
-        self._told.note_witnesses(self._peers.witnesses_for(self._node_id))
+        self._advertised.set_witnesses(self._peers.witnesses_for(self._node_id))
         COORDINATING.labels(self._shard).set(0)
-        self._terms.end_term()
+        self._term_handler.end_term()
--- a/src/runkeel/coordination/peers.py
+++ b/src/runkeel/coordination/peers.py
@@ -1,4 +1,4 @@
-"""The nodes that ping this coordinator: their rank in the succession, and witnesses among them."""
+"""Registry of the nodes that ping this coordinator: ranks, copy holders and witnesses."""
 
 from __future__ import annotations
 
@@ -8,40 +8,37 @@
 from runkeel.wire.generated.jobs.ttypes import NodeAddress
 
 LAST_RANK = 3
-"""Nodes beyond this rank ping seldom and step in late."""
+"""Rank of all nodes from this one on: they are unranked, ping less often and take over late."""
 
-PEER_SECONDS = 12.0
-"""A node that has not pinged for so long is no longer counted."""
+PEER_EXPIRY_SECONDS = 12.0
+"""A node expires when it has not pinged for this long."""
 
-RECENT_SECONDS = 1.6
-"""A node that has not pinged for so long comes after all that have: it may be down itself.
+RECENT_PING_SECONDS = 1.6
+"""A node that has not pinged for this long ranks after all that have, as it may be down."""
 
-Three pauses between the pings of nodes in rank, and a little.
-"""
-
-SUCCESSORS = 1
-"""Nodes that get copies of what is running, the likeliest successors."""
+SUCCESSOR_COPIES = 1
+"""Number of likely successors that hold copies of the running items."""
 
-KEEPERS = 1
-"""Further nodes that get copies, of those that are not preferred: others may fail together.
+KEEPER_COPIES = 1
+"""Number of further copy holders that are not preferred, as preferred nodes may fail together.
 
-They are of the coordinator's own zone if possible, as bytes between zones are dear.
+They are in the coordinator's own zone if possible, as traffic between zones is expensive.
 """
 
-TOLD_SUCCESSORS = 5
-"""So many are told to each node: who coordinates after a loss, and who keeps jobs for the store.
+MAX_ADVERTISED_SUCCESSORS = 5
+"""Number of successors advertised to each node; they also keep jobs on behalf of the store.
 
-Together with the coordinator that is twice as many as must keep a job where two may be lost.
+With the coordinator these are twice as many as must keep a job for two losses to be tolerated.
 """
 
-LIKELIEST_SUCCESSORS = 2
-"""So many are told in the order of the succession, whatever their zones: they are asked first."""
+FIRST_SUCCESSORS = 2
+"""Number of successors listed first by rank, whatever their zones: they are queried first."""
 
-WITNESSES = 6
-"""Nodes asked whether they reach the coordinator: two in each of three zones."""
+MAX_WITNESSES = 6
+"""Number of witnesses advertised to a node: two in each of three zones."""
 
-WITNESSES_PER_ZONE = 2
-"""Nodes that a successor asks whether they reach the coordinator."""
+MAX_WITNESSES_PER_ZONE = 2
+"""Number of witnesses in each zone; a successor queries them before it takes over."""
 
 
 @dataclass(slots=True)
@@ -52,10 +49,10 @@
 
 
 class PeerRegistry:
-    """Keeps the nodes in the order of their first ping.
+    """Records the nodes that ping this coordinator, in the order of their first ping.
 
     Args:
-        zone: the zone of the coordinator that keeps it.
+        zone: the coordinator's own zone.
     """
 
     def __init__(self, zone: str = "") -> None:
@@ -66,11 +63,10 @@
         return len(self._peers)
 
     def clear(self) -> None:
-        """Forget all nodes."""
         self._peers.clear()
 
-    def note(self, node_id: str, address: NodeAddress, preferred: bool) -> int:
-        """Take note of a ping; returns the node's rank: preferred nodes first, by first ping."""
+    def record_ping(self, node_id: str, address: NodeAddress, preferred: bool) -> int:
+        """Record a ping; returns the node's rank, which is by first ping among preferred nodes."""
         known = self._peers.setdefault(node_id, _Peer(preferred, address))
         known.address = address
         known.seen_at = steady_seconds()
@@ -78,46 +74,46 @@
             return LAST_RANK
         return min(self._succession().index(node_id), LAST_RANK)
 
-    def silent(self, seconds: float) -> int:
-        """Return how many nodes pinged lately, but not for so long."""
+    def count_silent(self, seconds: float) -> int:
+        """Return how many nodes have not expired, but not pinged for longer than ``seconds``."""
         now = steady_seconds()
         return sum(1 for _, one in self._live() if now - one.seen_at > seconds)
 
     def address(self, node_id: str) -> NodeAddress | None:
-        """Return where a node is reached."""
+        """Return the address of a node, None if it is unknown."""
         known = self._peers.get(node_id)
         return known.address if known is not None else None
 
     def addresses(self) -> list[NodeAddress]:
-        """Return where the nodes are reached that have pinged lately."""
+        """Return the addresses of the nodes that have not expired."""
         return [known.address for _, known in self._live()]
 
     def copy_holders(self, keepers: bool = True) -> list[str]:
-        """Return the nodes that get copies of what is running, the likeliest successors first.
+        """Return the nodes that hold copies of the running items, the likeliest successors first.
 
         Args:
-            keepers: whether nodes that are not preferred get some, too.
+            keepers: whether to include nodes that are not preferred.
         """
         live = self._live()
         preferred = self._succession()
         others = [(name, one.address.zone) for name, one in live if not one.preferred]
         others = [name for name, zone in sorted(others, key=lambda one: one[1] != self._zone)]
-        successors = [*preferred, *others][:SUCCESSORS]
+        successors = [*preferred, *others][:SUCCESSOR_COPIES]
         if not keepers:
             return successors
         further = [name for name in others if name not in successors]
-        return [*successors, *further[:KEEPERS]]
+        return [*successors, *further[:KEEPER_COPIES]]
 
     def successors(self) -> list[NodeAddress]:
         """Return the preferred nodes that are likeliest to replace this coordinator, in order.
 
-        After the first two they are spread over the zones: they keep jobs for the store, too, and
-        a whole zone may be lost.
+        All but the first ones are spread over zones: they also keep jobs on behalf of the store,
+        and a whole zone may be lost.
         """
         order = [self._peers[name].address for name in self._succession()]
-        chosen, others = order[:LIKELIEST_SUCCESSORS], order[LIKELIEST_SUCCESSORS:]
+        chosen, others = order[:FIRST_SUCCESSORS], order[FIRST_SUCCESSORS:]
         zones = [self._zone, *(one.zone for one in chosen)]
-        while others and len(chosen) < TOLD_SUCCESSORS:
+        while others and len(chosen) < MAX_ADVERTISED_SUCCESSORS:
             following = min(others, key=lambda one: zones.count(one.zone))
             others.remove(following)
             chosen.append(following)
@@ -125,26 +121,26 @@
         return chosen
 
     def witnesses_for(self, node_id: str) -> list[NodeAddress]:
-        """Return some other nodes of all zones, in each those that are not preferred first."""
+        """Return other nodes of each zone, those that are not preferred first."""
         others = [known for name, known in self._live() if name != node_id]
         others.sort(key=lambda known: known.preferred)
-        of_zone: dict[str, int] = {}
+        count_by_zone: dict[str, int] = {}
         chosen = []
         for known in others:
             zone = known.address.zone
-            of_zone[zone] = of_zone.get(zone, 0) + 1
-            if of_zone[zone] <= WITNESSES_PER_ZONE:
+            count_by_zone[zone] = count_by_zone.get(zone, 0) + 1
+            if count_by_zone[zone] <= MAX_WITNESSES_PER_ZONE:
                 chosen.append(known.address)
-        return chosen[:WITNESSES]
+        return chosen[:MAX_WITNESSES]
 
     def _succession(self) -> list[str]:
-        """Return the preferred nodes in the order in which they are to step in."""
+        """Return the preferred nodes in the order in which they would take over."""
         now = steady_seconds()
         preferred = [(name, one) for name, one in self._live() if one.preferred]
-        # Sorting keeps the order of the first pings among those that have pinged just now.
-        preferred.sort(key=lambda one: now - one[1].seen_at > RECENT_SECONDS)
+        # The sort is stable: nodes with a recent ping keep the order of their first pings.
+        preferred.sort(key=lambda one: now - one[1].seen_at > RECENT_PING_SECONDS)
         return [name for name, _ in preferred]
 
     def _live(self) -> list[tuple[str, _Peer]]:
-        oldest = steady_seconds() - PEER_SECONDS
+        oldest = steady_seconds() - PEER_EXPIRY_SECONDS
         return [(name, known) for name, known in self._peers.items() if known.seen_at > oldest]
--- a/src/runkeel/coordination/succession.py
+++ b/src/runkeel/coordination/succession.py
@@ -1,8 +1,9 @@
-"""Tells when it is a node's turn to replace the coordinator.
+"""Decides when a node is due to replace the coordinator.
 
-Counted from the first ping that fails: the first in rank waits for the silence alone, each further
-one a while longer, those that are not preferred longest. A coordinator that says itself that it
-does not serve is waited for only if it may serve again.
+The delay counts from the first failed ping. The first node in rank waits for the silence timeout
+only, each further rank a fixed delay longer, and nodes that are not preferred longest. A
+coordinator that answers but reports that it does not coordinate is waited for only if it may
+resume.
 """
 
 from __future__ import annotations
@@ -13,37 +14,37 @@
 from runkeel.coordination.peers import LAST_RANK
 from runkeel.wire.generated.jobs.ttypes import CoordinatorPong
 
-SILENCE_SECONDS = 0.6
-"""Pings fail for so long before the first in rank replaces the coordinator.
+SILENCE_TIMEOUT_SECONDS = 0.6
+"""How long pings must fail before the first node in rank replaces the coordinator.
 
-Counted from the start of the first that fails; witnesses are asked after that.
+Counted from the start of the first failed ping; witnesses are queried after that.
 """
 
-RANK_SECONDS = 0.5
-"""So much longer each next rank waits: one pause between pings."""
+RANK_DELAY_SECONDS = 0.5
+"""Additional delay per rank: one ping interval."""
 
-NOT_PREFERRED_SECONDS = 1.0
-"""So much longer a node that isn't preferred waits for one that is, when all may have restarted."""
+NOT_PREFERRED_DELAY_SECONDS = 1.0
+"""Additional delay of a node that is not preferred, in case the preferred ones are restarting."""
 
-STORE_LOST_SECONDS = 1.0
-"""A coordinator that has lost the store for so long is replaced by a node that reaches it."""
+STORE_LOSS_TIMEOUT_SECONDS = 1.0
+"""A coordinator without the store for this long is replaced by a node that reaches the store."""
 
-TENTATIVE_SECONDS = 0.3
-"""So much longer than for a claim a node waits before it runs items without the store."""
+TENTATIVE_DELAY_SECONDS = 0.3
+"""Delay, in addition to that before a claim, before a node starts a tentative term."""
 
-RECLAIM_SECONDS = 0.4
-"""A coordinator that has restarted gets so long to take its place again.
+RECLAIM_TIMEOUT_SECONDS = 0.4
+"""How long a restarted coordinator has to reclaim its term.
 
-It knows best what was running, and need not wait before it gives orders to engines.
+It has the most complete state of running items and need not wait before ordering engines.
 """
 
 
 class Succession:
-    """One node's view of a coordinator that may have to be replaced.
+    """Tracks whether the coordinator serves and when this node is due to replace it.
 
     Args:
-        preferred: this node should coordinate rather than one that is not preferred.
-        reaches_store: whether the store answers this node.
+        preferred: whether this node takes precedence over nodes that are not preferred.
+        reaches_store: returns whether the store answers this node.
     """
 
     def __init__(self, preferred: bool, reaches_store: Callable[[], bool]) -> None:
@@ -52,76 +53,78 @@
         self._rank = LAST_RANK
         self._last_contact = 0.0
         self._failing_since = 0.0
-        self._lost_store_at = 0.0
-        """When the coordinator was first heard to have lost the store."""
+        self._store_lost_at = 0.0
+        """Steady time at which the coordinator first reported that it lost the store; 0: never."""
         self._store_lost = False
         """Whether this node has lost the store itself while the coordinator was silent."""
         self._store_back_at = 0.0
 
     @property
     def silent_seconds(self) -> float:
-        """Time since the coordinator was last known to serve."""
+        """Seconds since the coordinator was last known to serve."""
         return steady_seconds() - self._last_contact
 
     @property
     def may_be_replaced(self) -> bool:
-        """Whether the first in rank has had the time to replace a silent coordinator."""
+        """Whether the first node in rank may have replaced a silent coordinator by now."""
         failing_since = self._failing_since
-        return bool(failing_since) and steady_seconds() - failing_since > SILENCE_SECONDS
+        return bool(failing_since) and steady_seconds() - failing_since > SILENCE_TIMEOUT_SECONDS
 
     @property
     def may_serve_tentatively(self) -> bool:
-        """Whether it is this node's turn to run items on without the store."""
+        """Whether this node is due to start a tentative term without the store."""
         if self._reaches_store() or self._rank >= LAST_RANK or not self._failing_since:
             return False
-        turn = SILENCE_SECONDS + TENTATIVE_SECONDS + RANK_SECONDS * self._rank
-        return steady_seconds() - self._failing_since >= turn
+        rank_delay = (
+            SILENCE_TIMEOUT_SECONDS + TENTATIVE_DELAY_SECONDS + RANK_DELAY_SECONDS * self._rank
+        )
+        return steady_seconds() - self._failing_since >= rank_delay
 
-    def begin(self) -> None:
-        """Follow another coordinator from now on."""
+    def reset(self) -> None:
+        """Reset the state for a new coordinator."""
         self.note_contact()
-        self._lost_store_at = 0.0
+        self._store_lost_at = 0.0
 
     def note_contact(self) -> None:
-        """Take note that the coordinator serves, or need not be waited for."""
+        """Record that the coordinator serves, or that its silence must not be counted."""
         self._last_contact = steady_seconds()
         self._failing_since = 0.0
 
-    def serves(self, pong: CoordinatorPong | None) -> bool:
-        """Return whether the coordinator does its work; note how long it has lost the store."""
+    def is_serving(self, pong: CoordinatorPong | None) -> bool:
+        """Record a ping's answer (None: no answer); returns whether the coordinator is serving."""
         if pong is None:
             return False
         self._rank = pong.rank
         now = steady_seconds()
         if pong.store_reachable:
-            self._lost_store_at = 0.0
-        elif not self._lost_store_at:
-            self._lost_store_at = now
-        lost = self._lost_store_at and now - self._lost_store_at > STORE_LOST_SECONDS
+            self._store_lost_at = 0.0
+        elif not self._store_lost_at:
+            self._store_lost_at = now
+        lost = self._store_lost_at and now - self._store_lost_at > STORE_LOSS_TIMEOUT_SECONDS
         return pong.coordinator and not (lost and self._reaches_store())
 
-    def is_due(self, pong: CoordinatorPong | None, asked_at: float) -> bool:
-        """Return whether this node is to replace a coordinator that does not serve.
+    def is_due(self, pong: CoordinatorPong | None, pinged_at: float) -> bool:
+        """Return whether this node is due to replace a coordinator that does not serve.
 
         Args:
-            pong: its latest answer, None without one.
-            asked_at: steady time of the ping.
+            pong: its latest answer, None if it did not answer.
+            pinged_at: steady time of the ping.
         """
         now = steady_seconds()
-        self._failing_since = self._failing_since or asked_at
-        silence = silence_seconds(pong)
+        self._failing_since = self._failing_since or pinged_at
+        silence = takeover_delay_seconds(pong)
         if pong is None and not self._preferred:
-            silence += NOT_PREFERRED_SECONDS
-        turn = RANK_SECONDS * self._rank
-        if now - self._failing_since < silence + turn:
+            silence += NOT_PREFERRED_DELAY_SECONDS
+        rank_delay = RANK_DELAY_SECONDS * self._rank
+        if now - self._failing_since < silence + rank_delay:
             return False
-        return self._is_turn_since_store_is_back(turn, now)
+        return self._is_turn_after_store_outage(rank_delay, now)
 
-    def _is_turn_since_store_is_back(self, turn: float, now: float) -> bool:
-        """Return whether this node reaches the store and those before it have had their turn.
+    def _is_turn_after_store_outage(self, rank_delay: float, now: float) -> bool:
+        """Return whether this node reaches the store and lower ranks had time to claim first.
 
-        In an outage of the store all have waited for long enough; who hears first of its end is
-        chance. Those that are not preferred leave a moment to those that are.
+        After a store outage every node has exceeded its delay, so the delay per rank is counted
+        again from the moment at which this node reaches the store.
         """
         if not self._reaches_store():
             self._store_lost = True
@@ -130,13 +133,13 @@
             self._store_lost = False
             self._store_back_at = now
         if not self._preferred:
-            turn += NOT_PREFERRED_SECONDS
-        return now - self._store_back_at >= turn
+            rank_delay += NOT_PREFERRED_DELAY_SECONDS
+        return now - self._store_back_at >= rank_delay
 
 
-def silence_seconds(pong: CoordinatorPong | None) -> float:
-    """Return how long the first in rank waits after an answer like this, or without one."""
+def takeover_delay_seconds(pong: CoordinatorPong | None) -> float:
+    """Return the delay in seconds of the first node in rank after this answer (None: no answer)."""
     if pong is None or pong.coordinator:
-        return SILENCE_SECONDS
-    # A node that says itself that it doesn't coordinate is waited for only if it may again.
-    return RECLAIM_SECONDS if pong.store_reachable else 0.0
+        return SILENCE_TIMEOUT_SECONDS
+    # A node that reports that it does not coordinate is waited for only if it may reclaim its term.
+    return RECLAIM_TIMEOUT_SECONDS if pong.store_reachable else 0.0
--- a/src/runkeel/coordination/tentative_place.py
+++ b/src/runkeel/coordination/tentative_place.py
@@ -1,7 +1,7 @@
-"""Running items on while the store is away and can't say who coordinates.
+"""Tentative terms: running open items while neither the coordinator nor the store is reachable.
 
-A node in rank that hears neither the coordinator nor the store runs the open items in a tentative
-term. It lists nothing. When the store is back it claims the place, and the term is confirmed.
+A node in rank that reaches neither of them runs the open items in a tentative term. It lists
+nothing. When the store is reachable again, the node claims the term, which confirms it.
 """
 
 from __future__ import annotations
@@ -14,37 +14,34 @@
 from runkeel.coordination.coordinator_document import Coordinator
 from runkeel.coordination.pings import PingSender
 from runkeel.coordination.succession import Succession
-from runkeel.coordination.told_nodes import ToldNodes
+from runkeel.coordination.told_nodes import AdvertisedNodes
 from runkeel.wire.generated.jobs.ttypes import CoordinatorPong
 
-CHECK_SECONDS = 0.1
-"""Pause before a node that runs items on looks again whether the store is back.
+STORE_CHECK_INTERVAL_SECONDS = 0.1
+"""Interval at which a node in a tentative term checks whether the store is reachable again.
 
-It looks at what the node's own calls have found; no call is made for it.
+The check uses the results of the node's other calls and makes no call itself.
 """
 
-COMPARE_SECONDS = 0.5
-"""Pause between questions whether another node runs items as well."""
+TIE_CHECK_INTERVAL_SECONDS = 0.5
+"""Interval between checks for another node in a tentative term."""
 
-YIELD_SECONDS = 1.0
-"""A node that has run the items on is left the first claim for so long after an outage.
-
-Its own calls to the store find out within 0.4 s that it is back.
-"""
+MAX_DEFER_SECONDS = 1.0
+"""How long other nodes let a node in a tentative term claim first after a store outage."""
 
 
-class TentativePlace:
-    """This node's tentative term, and its regard for those of others.
+class TentativeTerm:
+    """This node's tentative term, and precedence between tentative terms of several nodes.
 
     Args:
         node_id: this node.
-        preferred: only preferred nodes run items on.
-        witnessed: asks others whether they reach a coordinator.
-        begin_term: begins the work of a tentative term.
-        end_term: ends it.
+        preferred: whether this node is preferred; only preferred nodes begin a tentative term.
+        reached_by_witnesses: returns whether other nodes reach a coordinator.
+        begin_term: called with the epoch when a tentative term begins.
+        end_term: called when it ends without being confirmed.
 
     Attributes:
-        epoch: in which this node will coordinate if the store says so; 0: it runs nothing on.
+        epoch: epoch that this node will claim once the store is reachable; 0: no tentative term.
     """
 
     def __init__(
@@ -52,40 +49,40 @@
         node_id: str,
         preferred: bool,
         pings: PingSender,
-        told: ToldNodes,
+        advertised: AdvertisedNodes,
         succession: Succession,
-        witnessed: Callable[[Coordinator], bool],
+        reached_by_witnesses: Callable[[Coordinator], bool],
         begin_term: Callable[[int], None],
         end_term: Callable[[], None],
     ) -> None:
         self._node_id = node_id
         self._preferred = preferred
         self._pings = pings
-        self._told = told
+        self._advertised = advertised
         self._succession = succession
-        self._witnessed = witnessed
+        self._reached_by_witnesses = reached_by_witnesses
         self._begin_term = begin_term
         self._end_term = end_term
         self.epoch = 0
-        self._compared_at = 0.0
-        self._yielded_since = 0.0
-        """Since when another node was left the first claim; 0: none is."""
+        self._tie_checked_at = 0.0
+        self._deferring_since = 0.0
+        """Steady time since which this node defers to another one's claim; 0: it does not."""
 
     def may_begin(self, known: Coordinator) -> bool:
-        """Return whether nobody serves, and nobody could be told by the store to."""
+        """Return whether no other node coordinates, runs a tentative term or reaches the store."""
         if not self._preferred or not self._succession.may_serve_tentatively:
             return False
-        answers = self._ask_others(known).values()
+        answers = self._ping_successors(known).values()
         if any(pong.tentative or pong.coordinator or pong.store_reachable for pong in answers):
             return False
-        return not self._witnessed(known)
+        return not self._reached_by_witnesses(known)
 
     def begin(self, known: Coordinator) -> None:
-        """Run the items of a coordinator on that has fallen silent."""
+        """Begin a tentative term in place of a coordinator that does not answer."""
         self.epoch = known.epoch + 1
-        self._compared_at = 0.0
+        self._tie_checked_at = 0.0
         logger.warning(
-            "runs items until the store is back",
+            "tentative term began; running items until the store is reachable",
             code="coordinator_tentative",
             epoch=self.epoch,
             coordinator=known.node_id,
@@ -94,11 +91,11 @@
         self._begin_term(self.epoch)
 
     def end(self, reason: str) -> None:
-        """Run nothing on any more; does nothing when nothing is."""
+        """End the tentative term, if there is one."""
         if not self.epoch:
             return
         logger.info(
-            "runs items no more",
+            "tentative term ended",
             code="coordinator_tentative_ended",
             epoch=self.epoch,
             reason=reason,
@@ -106,30 +103,32 @@
         self.epoch = 0
         self._end_term()
 
-    def confirmed(self) -> None:
-        """The store has confirmed the term; its work goes on."""
+    def confirm(self) -> None:
+        """Clear the tentative state: the store has confirmed the term, and its work continues."""
         self.epoch = 0
 
-    def comes_second(self, known: Coordinator) -> bool:
-        """Return whether another node that began at the same moment comes first, by its name."""
+    def loses_tie(self, known: Coordinator) -> bool:
+        """Return whether another node in a tentative term takes precedence, by its name."""
         now = steady_seconds()
-        if now - self._compared_at < COMPARE_SECONDS:
+        if now - self._tie_checked_at < TIE_CHECK_INTERVAL_SECONDS:
             return False
-        self._compared_at = now
-        answers = self._ask_others(known)
+        self._tie_checked_at = now
+        answers = self._ping_successors(known)
         return any(pong.tentative and one < self._node_id for one, pong in answers.items())
 
-    def yields(self, known: Coordinator) -> bool:
-        """Return whether another node that has run the items on is left the first claim.
+    def defers_claim(self, known: Coordinator) -> bool:
+        """Return whether to let another node in a tentative term claim first.
 
-        Not for long: it may be cut off from the store, which this node reaches.
+        Bounded in time, as that node may be cut off from the store.
         """
-        if not any(pong.tentative for pong in self._ask_others(known).values()):
-            self._yielded_since = 0.0
+        if not any(pong.tentative for pong in self._ping_successors(known).values()):
+            self._deferring_since = 0.0
             return False
-        self._yielded_since = self._yielded_since or steady_seconds()
-        return steady_seconds() - self._yielded_since < YIELD_SECONDS
+        self._deferring_since = self._deferring_since or steady_seconds()
+        return steady_seconds() - self._deferring_since < MAX_DEFER_SECONDS
 
-    def _ask_others(self, known: Coordinator) -> dict[str, CoordinatorPong]:
-        others = [one for one in self._told.successors if one not in (self._node_id, known.node_id)]
+    def _ping_successors(self, known: Coordinator) -> dict[str, CoordinatorPong]:
+        others = [
+            one for one in self._advertised.successors if one not in (self._node_id, known.node_id)
+        ]
         return self._pings.ping_all(others, known.epoch)
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -1,4 +1,4 @@
-"""Election and succession of the coordinator, with the times cut to a tenth."""
+"""Election and succession of the coordinator, with delays scaled to a tenth."""
 
 import unittest
 from unittest import mock
@@ -18,20 +18,20 @@
 
 SCALED = {
     election_module: (
-        "PING_SECONDS",
-        "FIRST_PING_SECONDS",
-        "SLOW_PING_SECONDS",
-        "START_SPREAD_SECONDS",
-        "PREFERENCE_SECONDS",
-        "WITNESS_SECONDS",
+        "PING_INTERVAL_SECONDS",
+        "FIRST_RANK_PING_INTERVAL_SECONDS",
+        "UNRANKED_PING_INTERVAL_SECONDS",
+        "START_JITTER_SECONDS",
+        "NOT_PREFERRED_START_DELAY_SECONDS",
+        "WITNESS_TIMEOUT_SECONDS",
     ),
     pings: ("PING_TIMEOUT_SECONDS",),
     succession: (
-        "SILENCE_SECONDS",
-        "RANK_SECONDS",
-        "NOT_PREFERRED_SECONDS",
-        "STORE_LOST_SECONDS",
-        "TENTATIVE_SECONDS",
+        "SILENCE_TIMEOUT_SECONDS",
+        "RANK_DELAY_SECONDS",
+        "NOT_PREFERRED_DELAY_SECONDS",
+        "STORE_LOSS_TIMEOUT_SECONDS",
+        "TENTATIVE_DELAY_SECONDS",
     ),
 }
 SCALE = 0.1
@@ -40,7 +40,7 @@
 
 
 class CutStore:
-    """A store that one node can be cut from."""
+    """A store proxy whose connection can be cut for one node."""
 
     def __init__(self, store):
         self._store = store
@@ -58,7 +58,7 @@
 
 
 class NoLease:
-    """No order lease is known."""
+    """An order lease without a confirmation."""
 
     confirmation = (0, 0.0)
 
@@ -67,7 +67,7 @@
 
 
 class RecordedTerms:
-    """Notes the terms that a node begins."""
+    """Records the terms that a node begins and ends."""
 
     def __init__(self, name, terms, tentative, ended):
         self._name = name
@@ -140,37 +140,34 @@
         self.assertEqual(self._coordinator(nodes).node_id, "disk-1")
 
     def test_preferred_node_comes_first_also_after_all_have_restarted(self):
-        """sirca sweep at 300 machines: an edge node took over from a coordinator that was down."""
+        """A node that is not preferred must leave a silent coordinator to preferred ones."""
         content = {"node": "x", "address": "127.0.0.1:1", "zone": "zone", "epoch": 1}
         self.store.put(DocumentKind.COORDINATOR, "fleet", content)
-        with mock.patch.object(succession, "NOT_PREFERRED_SECONDS", LONGEST_WAIT_SECONDS):
+        with mock.patch.object(succession, "NOT_PREFERRED_DELAY_SECONDS", LONGEST_WAIT_SECONDS):
             nodes = self._nodes("edge-1", "edge-2", preferred=False)
             gevent.sleep(SETTLE_SECONDS / 2)
             nodes += self._nodes("disk-1")
             self.assertEqual(self._coordinator(nodes).node_id, "disk-1")
 
-    def test_coordinator_that_has_restarted_takes_its_place_again(self):
-        """kitami trouble-1: another node took over after the loss of power of all machines.
-
-        It had to wait 3.8 s before its first order to an engine.
-        """
+    def test_restarted_coordinator_reclaims_its_term(self):
+        """Another node must not take over first: it would have to wait before its first order."""
         content = {"node": "b", "address": "127.0.0.1:1", "zone": "zone", "epoch": 1}
         self.store.put(DocumentKind.COORDINATOR, "fleet", content)
-        with mock.patch.object(succession, "RECLAIM_SECONDS", 4.0):
+        with mock.patch.object(succession, "RECLAIM_TIMEOUT_SECONDS", 4.0):
             nodes = self._nodes("a", "b", "c")
             self.assertEqual(self._coordinator(nodes).node_id, "b")
         self.assertEqual(self.terms, [("b", 2)])
 
     def test_node_that_stops_or_lost_the_store_is_not_waited_for(self):
-        silent = succession.silence_seconds(None)
-        for reaches_store, expected in ((True, succession.RECLAIM_SECONDS), (False, 0.0)):
+        silent = succession.takeover_delay_seconds(None)
+        for reaches_store, expected in ((True, succession.RECLAIM_TIMEOUT_SECONDS), (False, 0.0)):
             pong = CoordinatorPong(False, 0, 0, reaches_store, [], 0, 0, [], 0)
-            self.assertEqual(succession.silence_seconds(pong), expected)
+            self.assertEqual(succession.takeover_delay_seconds(pong), expected)
         pong = CoordinatorPong(True, 0, 0, True, [], 0, 0, [], 1)
-        self.assertEqual(succession.silence_seconds(pong), silent)
+        self.assertEqual(succession.takeover_delay_seconds(pong), silent)
 
     def test_dead_coordinator_is_replaced_once(self):
-        """sirca trouble-2: three nodes took over within 0.4 s, each from the one before."""
+        """Several nodes must not take over one after another, each from the one before."""
         nodes = self._nodes("a", "b", "c", "d")
         first = self._coordinator(nodes)
         self.network.silent.add(first.node_id)
@@ -180,8 +177,8 @@
         gevent.sleep(SETTLE_SECONDS)
         self.assertEqual(len(self.terms), 2, self.terms)
 
-    def test_nodes_cut_from_the_coordinator_ask_others_first(self):
-        """sirca trouble-2: a cut between two nodes made them take over in turn."""
+    def test_nodes_cut_from_the_coordinator_query_witnesses_first(self):
+        """A cut between two nodes must not make them replace each other in turn."""
         nodes = [*self._nodes("a", "b"), *self._nodes("e", "f", preferred=False)]
         first = self._coordinator(nodes)
         other = next(node for node in nodes[:2] if node is not first)
@@ -191,7 +188,7 @@
         self.assertEqual(len(self.terms), 1, self.terms)
 
     def test_replaced_coordinator_that_is_cut_off_does_not_come_back(self):
-        """sirca trouble-3: a node cut from other zones took its place back 3.5 s later."""
+        """A replaced coordinator that is cut off from most nodes must not reclaim its term."""
         nodes = [*self._nodes("a", "b"), *self._nodes("e", "f", preferred=False)]
         first = self._coordinator(nodes)
         other = next(node for node in nodes[:2] if node is not first)
@@ -220,8 +217,8 @@
         self.assertEqual(first.known_successor.node_id, successor.node_id)
         self.assertEqual(first.known_successor.epoch, 2)
 
-    def test_nodes_out_of_rank_learn_of_a_successor_without_the_store(self):
-        """shifted quiet-1: 60 nodes made six calls to the store each after one change."""
+    def test_unranked_nodes_learn_of_a_successor_without_the_store(self):
+        """Unranked nodes must not all have to read the store after a change of coordinator."""
         disks = self._nodes("disk-1", "disk-2", "disk-3")
         edges = self._nodes("edge-1", "edge-2", preferred=False)
         first = self._coordinator([*disks, *edges])
@@ -235,26 +232,26 @@
         for edge in edges:
             self.assertEqual(edge.coordinator.node_id, successor.node_id)
 
-    def test_news_of_a_coordinator_that_was_replaced_is_left_aside(self):
+    def test_update_of_a_replaced_coordinator_is_ignored(self):
         (node,) = self._nodes("a")
         self._coordinator([node])
         node.note_successor(NodeAddress("z", "127.0.0.1:1", "zone"), 7)
         self.assertFalse(node.coordinating)
         content = {"node": "b", "address": "127.0.0.1:1", "zone": "zone", "epoch": 6}
         document = Document(DocumentKind.COORDINATOR, "fleet", 99, content)
-        node._changed(document, removed=False)
+        node._on_document_changed(document, removed=False)
         self.assertEqual(node.coordinator.node_id, "z")
 
     def test_planned_stop_hands_over_at_the_next_ping(self):
-        """sirca inc-840c: the successor of a node that was to be emptied waited a second."""
-        with mock.patch.object(succession, "SILENCE_SECONDS", 60.0):
+        """The successor of a node that is being drained must not wait for the silence timeout."""
+        with mock.patch.object(succession, "SILENCE_TIMEOUT_SECONDS", 60.0):
             nodes = self._nodes("a", "b")
             first = self._coordinator(nodes)
             first.leave()
             self._wait(lambda: any(node.coordinating for node in nodes if node is not first))
 
     def test_preferred_node_takes_over_after_an_outage_of_the_store(self):
-        """kitami trouble-3: all had waited for long, an edge node heard first of the return."""
+        """The delay of nodes that are not preferred must hold again after a store outage."""
         edges = self._nodes("edge-1", "edge-2", preferred=False)
         disks = self._nodes("disk-1", "disk-2")
         first = self._coordinator([*edges, *disks])
@@ -273,8 +270,8 @@
         for store in self.stores.values():
             store.cut = cut
 
-    def _outage_without_coordinator(self, nodes):
-        """Let the store go and the coordinator die; returns it."""
+    def _store_outage_without_coordinator(self, nodes):
+        """Cut all nodes from the store and stop the coordinator; returns the coordinator."""
         first = self._coordinator(nodes)
         gevent.sleep(SETTLE_SECONDS)
         self._cut_all(True)
@@ -283,10 +280,10 @@
         first.stop()
         return first
 
-    def test_one_node_runs_items_on_until_the_store_is_back(self):
-        """shifted trouble-3: nothing ran for 5 s between a coordinator's end and the outage's."""
+    def test_one_node_begins_a_tentative_term_in_a_store_outage(self):
+        """Items must keep running when the coordinator is lost during a store outage."""
         nodes = self._nodes("a", "b", "c", "d")
-        first = self._outage_without_coordinator(nodes)
+        first = self._store_outage_without_coordinator(nodes)
         others = [node for node in nodes if node is not first]
         self._wait(lambda: any(node.tentative for node in others))
         gevent.sleep(2 * SETTLE_SECONDS)
@@ -299,7 +296,7 @@
         self.assertEqual(self.terms[1:], [(tentative.node_id, 2)])
         self.assertEqual(self.ended_terms, [])
 
-    def test_node_that_runs_items_on_ends_when_the_coordinator_serves_again(self):
+    def test_tentative_term_ends_when_the_coordinator_serves_again(self):
         nodes = self._nodes("a", "b", "c")
         first = self._coordinator(nodes)
         gevent.sleep(SETTLE_SECONDS)
@@ -310,7 +307,7 @@
         self._wait(lambda: any(node.tentative for node in others))
         self.network.silent.clear()
         self._wait(lambda: not any(node.tentative for node in others))
-        # A coordinator without the store gives way to a node that reaches it.
+        # A coordinator without the store would be replaced by a node that reaches it.
         self.stores[first.node_id].cut = False
         self._wait(first._reaches_store)
         gevent.sleep(SETTLE_SECONDS)
@@ -320,10 +317,10 @@
         self.assertEqual(len(self.terms), 1, self.terms)
         self.assertEqual(len(self.ended_terms), 1, self.ended_terms)
 
-    def test_two_nodes_that_began_to_run_items_at_once(self):
-        """Drawn day of d1bdeba8: two storage machines began within 12 ms of each other."""
+    def test_simultaneous_tentative_terms(self):
+        """Of two nodes that began tentative terms at the same time, only one may remain."""
         nodes = self._nodes("a", "b", "c")
-        first = self._outage_without_coordinator(nodes)
+        first = self._store_outage_without_coordinator(nodes)
         others = [node for node in nodes if node is not first]
         self._wait(lambda: any(node.tentative for node in others))
         for node in others:
@@ -333,7 +330,7 @@
         (left,) = [node for node in others if node.tentative]
         self.assertEqual(left.node_id, min(node.node_id for node in others))
 
-    def test_claim_that_the_store_took_without_an_answer_confirms_the_term(self):
+    def test_claim_whose_answer_was_lost_confirms_the_term(self):
         nodes = self._nodes("a", "b", "c")
         first = self._coordinator(nodes)
         gevent.sleep(SETTLE_SECONDS)
@@ -345,7 +342,7 @@
         gevent.sleep(SETTLE_SECONDS)
         self.assertEqual([epoch for _, epoch in self.terms], [1, 2], self.terms)
 
-    def test_nobody_runs_items_on_while_another_node_reaches_the_store(self):
+    def test_no_tentative_term_while_another_node_reaches_the_store(self):
         nodes = [*self._nodes("a", "b", "c")]
         first = self._coordinator(nodes)
         gevent.sleep(SETTLE_SECONDS)
