--- a/src/runkeel/coordination/coordinator_document.py
+++ b/src/runkeel/coordination/coordinator_document.py
@@ -1,4 +1,4 @@
-"""The document that says who coordinates; changed by compare-and-swap only."""
+"""The document that names the coordinator; changed by compare-and-swap only."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Coordinator:
-    """Who coordinates.
+    """A coordinator and its term.
 
     Attributes:
-        epoch: number of the term; grows with each change.
-        revision: the document's, 0 before it is written.
+        epoch: number of the term; increases with each term.
+        revision: revision of the document, 0 before it is written.
     """
 
     node_id: str
@@ -30,7 +30,7 @@
 
     @classmethod
     def from_document(cls, document: Document) -> Coordinator:
-        """Read a document. Raises KeyError, TypeError or ValueError for one of another form."""
+        """Parse a document. Raises KeyError, TypeError or ValueError if it is malformed."""
         content = document.content
         return cls(
             content["node"],
@@ -47,11 +47,11 @@
         replaced: Coordinator | None,
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> None:
-        """Write this claim in the place of another one.
+        """Write this claim, on condition that ``replaced`` is still stored (None: no document).
 
         Raises:
-            DocumentConflictError: another node was first.
-            RunkeelError: the store gave no answer.
+            DocumentConflictError: another node wrote first.
+            RunkeelError: the store did not answer.
         """
         content = {
             "node": self.node_id,
--- a/src/runkeel/coordination/pings.py
+++ b/src/runkeel/coordination/pings.py
@@ -1,4 +1,4 @@
-"""Asks the coordinator, and other nodes, what they do and know: one kind of message, a ping."""
+"""Sends pings, by which the coordinator and other nodes report their state."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from runkeel.wire.network import PeerNetwork
 
 PING_TIMEOUT_SECONDS = 0.35
-"""Longest wait for the answer to a ping."""
+"""Timeout of a ping."""
 
 
 class PingSender:
-    """Pings other nodes in this one's name.
+    """Sends this node's pings.
 
     Attributes:
-        own_address: where this node is reached; told with each ping.
-        neighbours_digest: of the neighbours that this node was told; it is told others if they
-            differ from the coordinator's view.
+        own_address: address at which peers reach this node; sent with each ping.
+        neighbours_digest: digest of this node's overlay neighbours; the coordinator answers with
+            the neighbours if they differ.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
         self.neighbours_digest = 0
 
     def ping(self, node_id: str, epoch: int, coordinating: bool = False) -> CoordinatorPong | None:
-        """Ping a node; None without an answer.
+        """Ping a node; returns None if it does not answer.
 
         Args:
-            epoch: the latest term that this node knows.
-            coordinating: this node coordinates in that term.
+            epoch: epoch of the latest term known to this node.
+            coordinating: whether this node coordinates in that term.
         """
         message = CoordinatorPing(
             self._shard,
@@ -60,7 +60,7 @@
             return None
 
     def ping_all(self, node_ids: Iterable[str], epoch: int) -> dict[str, CoordinatorPong]:
-        """Ping nodes all at once; returns who answered what."""
-        asked = {one: gevent.spawn(self.ping, one, epoch) for one in node_ids}
-        gevent.joinall(list(asked.values()), timeout=PING_TIMEOUT_SECONDS)
-        return {one: task.value for one, task in asked.items() if task.value is not None}
+        """Ping nodes concurrently; returns the answers by node."""
+        tasks = {one: gevent.spawn(self.ping, one, epoch) for one in node_ids}
+        gevent.joinall(list(tasks.values()), timeout=PING_TIMEOUT_SECONDS)
+        return {one: task.value for one, task in tasks.items() if task.value is not None}
--- a/src/runkeel/coordination/witnesses.py
+++ b/src/runkeel/coordination/witnesses.py
@@ -1,4 +1,4 @@
-"""Asks other nodes whether they reach the coordinator, before one that does not replaces it."""
+"""Queries other nodes whether they reach the coordinator, before a node replaces it."""
 
 from __future__ import annotations
 
@@ -13,24 +13,32 @@
 
 
 def reached_by_others(
-    network: PeerNetwork, shard: str, epoch: int, node_ids: Iterable[str], seconds: float
+    network: PeerNetwork, shard: str, epoch: int, node_ids: Iterable[str], timeout_seconds: float
 ) -> bool:
-    """Ask nodes, all at once; True when one of them has an answer from the coordinator.
+    """Query nodes concurrently; returns whether any of them reports that the coordinator serves.
 
     Args:
-        epoch: the coordinator's; a later one counts too.
-        seconds: longest time to wait for the answers.
+        epoch: epoch of the coordinator; one of a later epoch counts, too.
+        timeout_seconds: timeout of all queries.
     """
     message = CoordinatorWitness(shard, epoch)
-    asked = [gevent.spawn(_ask, network, node_id, message, seconds) for node_id in node_ids]
-    gevent.joinall(asked, timeout=seconds)
-    return any(task.value for task in asked)
+    queries = [
+        gevent.spawn(_query, network, node_id, message, timeout_seconds) for node_id in node_ids
+    ]
+    gevent.joinall(queries, timeout=timeout_seconds)
+    return any(task.value for task in queries)
 
 
-def _ask(network: PeerNetwork, node_id: str, message: CoordinatorWitness, seconds: float) -> bool:
+def _query(
+    network: PeerNetwork, node_id: str, message: CoordinatorWitness, timeout_seconds: float
+) -> bool:
     try:
         reply = network.call(
-            node_id, MessageType.COORDINATOR_WITNESS, message, CoordinatorWitnessReply, seconds
+            node_id,
+            MessageType.COORDINATOR_WITNESS,
+            message,
+            CoordinatorWitnessReply,
+            timeout_seconds,
         )
     except RunkeelError:
         return False
