--- a/src/runkeel/coordination/load_pacing.py
+++ b/src/runkeel/coordination/load_pacing.py
@@ -1,73 +1,72 @@
-"""How many engines may load a version at once, learnt from how long loads take.
+"""Adaptive limit on concurrent weight loads, by additive increase and multiplicative decrease.
 
-Weights come from one store. While more engines load than it feeds at full speed, each load takes
-longer, and no engine is ready any sooner. How many that is nobody tells, so it is found as a sender
-finds the rate of a link: a slow load lowers the bound by a part, loads at full speed raise it by
-small steps.
+All engines load weights from one store of limited throughput. Beyond that, more concurrent loads
+only make each of them slower. The throughput is not known, so the limit is adapted as in congestion
+control: slow loads decrease it by a factor, loads at full speed increase it in small steps.
 """
 
 from __future__ import annotations
 
-CONCURRENT_LOADS = 2
-"""So many engines of a service may load at once in any case."""
+MIN_CONCURRENT_LOADS = 2
+"""Lower bound of the limit, per service."""
 
-CONCURRENT_SHARE = 0.4
-"""The bound begins at so large a part of a service's engines, and never exceeds it."""
+MAX_CONCURRENT_SHARE = 0.4
+"""Initial value and upper bound of the limit, as a share of a service's engines."""
 
 SLOW_LOAD_RATIO = 1.6
-"""A load counts as slow from so many times the shortest one; reports show its end 0.15 s late."""
+"""A load counts as slow if it takes more than this many times the shortest one."""
 
-SLOW_IN_A_ROW = 3
-"""So many loads in a row have to be slow: one alone may be that of a slow engine."""
+CONSECUTIVE_SLOW_LOADS = 3
+"""Consecutive slow loads that decrease the limit; a single one may be due to its engine."""
 
-DECREASE = 0.6
-"""Part of the limit that is left after a slow load. Chosen, not measured."""
+DECREASE_FACTOR = 0.6
+"""Factor by which slow loads decrease the limit."""
 
 INCREASE_PER_LOAD = 0.25
-"""A quarter of an engine per load at full speed: one more for four that have loaded."""
+"""Increase of the limit, in engines, per load at full speed."""
 
 
 class LoadPacing:
-    """The bound on concurrent loads of one service.
+    """The limit on concurrent loads of one service.
 
     Args:
-        expected_seconds: of a load at full speed; shorter ones are learnt.
+        expected_seconds: expected duration of a load at full speed; shorter loads replace it.
     """
 
     def __init__(self, expected_seconds: float) -> None:
-        self._shortest = expected_seconds
+        self._shortest_seconds = expected_seconds
         self._limit: float | None = None
         self._engines = 0
-        self._lowered_at = 0.0
-        self._slow_in_a_row = 0
+        self._decreased_at = 0.0
+        self._consecutive_slow = 0
 
-    def room(self, engines: int, loading: int) -> int:
-        """Return how many more engines may begin to load.
+    def available_loads(self, engines: int, loading: int) -> int:
+        """Return how many more engines may begin to load; not positive if none may.
 
         Args:
-            engines: of the service, all that take new work.
-            loading: those that load now.
+            engines: number of engines of the service that accept new requests.
+            loading: number of engines that are loading.
         """
         self._engines = engines
-        return max(CONCURRENT_LOADS, int(self._bound())) - loading
+        return max(MIN_CONCURRENT_LOADS, int(self._current_limit())) - loading
 
     def observe(self, started: float, ended: float) -> None:
-        """Take a load that has ended; times are those of the steady clock."""
+        """Adapt the limit to a finished load; times are of the steady clock, in seconds."""
         seconds = ended - started
-        self._shortest = min(self._shortest, seconds)
-        if seconds <= SLOW_LOAD_RATIO * self._shortest:
-            self._slow_in_a_row = 0
-            self._limit = min(self._highest(), self._bound() + INCREASE_PER_LOAD)
+        self._shortest_seconds = min(self._shortest_seconds, seconds)
+        if seconds <= SLOW_LOAD_RATIO * self._shortest_seconds:
+            self._consecutive_slow = 0
+            self._limit = min(self._max_limit(), self._current_limit() + INCREASE_PER_LOAD)
             return
-        # Loads that began before the bound was lowered say nothing of the new one.
-        self._slow_in_a_row += started >= self._lowered_at
-        if self._slow_in_a_row >= SLOW_IN_A_ROW:
-            self._slow_in_a_row = 0
-            self._lowered_at = ended
-            self._limit = max(float(CONCURRENT_LOADS), DECREASE * self._bound())
-
-    def _bound(self) -> float:
-        return self._highest() if self._limit is None else min(self._limit, self._highest())
-
-    def _highest(self) -> float:
-        return max(float(CONCURRENT_LOADS), CONCURRENT_SHARE * self._engines)
+        # Loads that began before the last decrease say nothing about the current limit.
+        self._consecutive_slow += started >= self._decreased_at
+        if self._consecutive_slow >= CONSECUTIVE_SLOW_LOADS:
+            self._consecutive_slow = 0
+            self._decreased_at = ended
+            self._limit = max(float(MIN_CONCURRENT_LOADS), DECREASE_FACTOR * self._current_limit())
+
+    def _current_limit(self) -> float:
+        return self._max_limit() if self._limit is None else min(self._limit, self._max_limit())
+
+    def _max_limit(self) -> float:
+        return max(float(MIN_CONCURRENT_LOADS), MAX_CONCURRENT_SHARE * self._engines)
--- a/src/runkeel/coordination/rollout_plan.py
+++ b/src/runkeel/coordination/rollout_plan.py
@@ -1,12 +1,13 @@
-"""Chooses the engines that change their weight version next; sends nothing itself.
+"""Selects the engines that change their weight version next; sends no orders itself.
 
-Jobs accept versions that are some way behind the newest. So at each version only a part of a
-model's engines is moved: those that the jobs no longer accept, and of the rest the oldest, so many
-that after as many versions as the jobs accept every engine has had its turn. In a large fleet only
-as many engines take part as the model's jobs can fill.
+Jobs accept versions that are a bounded number behind the newest. With each version only a part of a
+model's engines therefore changes: those whose version is no longer accepted, and of the rest the
+oldest, as many as are needed to change every engine before its version expires. In a large fleet
+only as many engines take part as the model's jobs can fill.
 
-An engine takes one order at a time, and few may load at once. The models of a service therefore
-share the orders: the next one goes to the model that has the smallest part of the engines it needs.
+An engine takes one order at a time, and the number of concurrent loads is limited. The models of a
+service share these loads: the next one goes to the model with the smallest share of the engines
+that it needs.
 """
 
 from __future__ import annotations
@@ -18,28 +19,28 @@
 
 from runkeel.gateway.backends import BackendState
 
-COMMON_FACTOR = 0.75
-"""Engines are kept at a model's versions for so large a part of its open items at once."""
+SLOTS_PER_ITEM = 0.75
+"""Slots to provide at a model's accepted versions, per item of its peak demand."""
 
-PRESSED_FACTOR = 2.5
-"""The same, while items have to wait for an engine."""
+SLOTS_PER_ITEM_BACKLOGGED = 2.5
+"""The same, while items wait long for an engine."""
 
-LEAST_ENGINES = 2
-"""Fewest engines of a model at its newest version, so that one may fail."""
+MIN_ENGINES = 2
+"""Minimum number of engines of a model, so that one may fail."""
 
-MAXIMUM_PREFERENCES = 65_536
-"""Models times engines whose order is remembered: some 7 models on 4,200 engines, twice."""
+MAX_CACHED_PREFERENCES = 65_536
+"""Size of the cache of preferences; one entry per model and engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """What batch jobs accept of a model.
+    """Requirements of the batch jobs on a model.
 
     Attributes:
         minimum_version: oldest version that every open job accepts.
-        slack: versions behind the newest that the latest job accepts.
-        items: most items that were open at once lately; None when no job has come yet.
-        pressed: items have lately waited long for an engine.
+        slack: number of versions behind the newest that the latest job accepts.
+        items: recent maximum of concurrently open items; None if there was no job yet.
+        pressed: whether items have recently waited long for an engine.
     """
 
     minimum_version: int = 0
@@ -49,14 +50,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineStanding:
-    """What is known of one engine and one model.
+class EngineStatus:
+    """State of one engine with regard to one model.
 
     Attributes:
-        version: what it has or is under way to.
-        running: items that run there, of all models.
-        available: it may be ordered to change now.
-        avoided: it has failed lately.
+        version: version that it has or is changing to.
+        running: number of items in flight there, of all models.
+        available: whether it may be ordered to change now.
+        avoided: whether it has failed recently.
     """
 
     state: BackendState
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedChange:
-    """An engine that is to change now."""
+    """An engine that is to be ordered to a version now."""
 
     state: BackendState
     model: str
@@ -77,13 +78,13 @@
 
 @dataclass(slots=True)
 class _ModelPlan:
-    """The engines of one model that are to be moved.
+    """The engines of one model that are to change.
 
     Attributes:
-        needed: engines that the model's jobs can fill.
-        usable: of these, those whose version the jobs accept or will when under way.
-        urgent: engines that the jobs no longer accept, in the order of their turn.
-        due: further engines whose turn it is.
+        needed: number of engines that the model's jobs can fill.
+        usable: number of these that have, or are changing to, an accepted version.
+        urgent: engines whose version is no longer accepted, in the order of their changes.
+        due: further engines to change for this version.
     """
 
     model: str
@@ -95,14 +96,14 @@
 
     @property
     def urgency(self) -> tuple[bool, float]:
-        """Order among models: the smallest first."""
+        """Sort key of models: the smallest goes first."""
         return not self.urgent, self.usable / max(1, self.needed)
 
-    def take(self, taken: set[str]) -> BackendState | None:
-        """Take the engine whose turn it is, of those not taken for another model."""
-        for waiting in (self.urgent, self.due):
-            while waiting:
-                state = waiting.pop(0)
+    def pop_next(self, taken: set[str]) -> BackendState | None:
+        """Remove and return the next engine that is not yet taken for another model."""
+        for queue in (self.urgent, self.due):
+            while queue:
+                state = queue.pop(0)
                 if state.backend_id not in taken:
                     self.usable += 1
                     return state
@@ -113,24 +114,26 @@
     engines: list[BackendState],
     targets: dict[str, int],
     demand: Callable[[str], ModelDemand],
-    standing: Callable[[BackendState, str], EngineStanding],
-    room: int,
+    engine_status: Callable[[BackendState, str], EngineStatus],
+    max_changes: int,
 ) -> list[PlannedChange]:
-    """Return the engines of a service to order now.
+    """Return the changes of a service's engines to start now.
 
     Args:
         targets: newest version of each model of the service.
-        room: so many more engines of the service may load.
+        max_changes: maximum number of changes to return.
     """
     plans = [
-        _plan_model(model, target, demand(model), [standing(state, model) for state in engines])
+        _plan_model(
+            model, target, demand(model), [engine_status(state, model) for state in engines]
+        )
         for model, target in targets.items()
     ]
     changes: list[PlannedChange] = []
     taken: set[str] = set()
-    while plans and len(changes) < room:
+    while plans and len(changes) < max_changes:
         plan = min(plans, key=lambda one: one.urgency)
-        state = plan.take(taken)
+        state = plan.pop_next(taken)
         if state is None:
             plans.remove(plan)
             continue
@@ -140,49 +143,48 @@
 
 
 def _plan_model(
-    model: str, target: int, demand: ModelDemand, standings: list[EngineStanding]
+    model: str, target: int, demand: ModelDemand, statuses: list[EngineStatus]
 ) -> _ModelPlan:
-    in_use = _in_use(model, demand, standings)
+    in_use = _in_use(model, demand, statuses)
     floor = max(target - demand.slack, demand.minimum_version)
     usable = sum(1 for one in in_use if one.version >= floor and not one.avoided)
     plan = _ModelPlan(model, target, len(in_use), usable)
-    share = -(-len(in_use) // (demand.slack + 1))
-    share -= sum(1 for one in in_use if one.version >= target)
+    quota = -(-len(in_use) // (demand.slack + 1))
+    quota -= sum(1 for one in in_use if one.version >= target)
     behind = [one for one in in_use if one.version < target]
     behind.sort(key=lambda one: (one.version, one.running))
     for one in behind:
         urgent = one.version < floor
-        if not urgent and share <= 0:
+        if not urgent and quota <= 0:
             break
-        share -= 1
+        quota -= 1
         if one.available:
             (plan.urgent if urgent else plan.due).append(one.state)
     return plan
 
 
-def _in_use(
-    model: str, demand: ModelDemand, standings: list[EngineStanding]
-) -> list[EngineStanding]:
-    """Return as many engines as the model's jobs can fill, those that are furthest first.
+def _in_use(model: str, demand: ModelDemand, statuses: list[EngineStatus]) -> list[EngineStatus]:
+    """Return as many engines as the model's jobs can fill, newest versions first.
 
-    Among equals each model prefers other engines, so that the models share the fleet.
+    Engines that have failed recently come last. Ties are broken by a preference that differs
+    between models, so that they share the fleet.
     """
     if demand.items is None:
-        return standings
-    slots = max((one.state.backend.slots for one in standings), default=1)
-    factor = PRESSED_FACTOR if demand.pressed else COMMON_FACTOR
-    needed = max(LEAST_ENGINES, -(-int(demand.items * factor) // max(1, slots)))
-    return _furthest(model, standings)[:needed]
+        return statuses
+    slots = max((one.state.backend.slots for one in statuses), default=1)
+    factor = SLOTS_PER_ITEM_BACKLOGGED if demand.pressed else SLOTS_PER_ITEM
+    needed = max(MIN_ENGINES, -(-int(demand.items * factor) // max(1, slots)))
+    return _newest_first(model, statuses)[:needed]
 
 
-def _furthest(model: str, standings: Iterable[EngineStanding]) -> list[EngineStanding]:
-    def order(one: EngineStanding) -> tuple[bool, int, bytes]:
+def _newest_first(model: str, statuses: Iterable[EngineStatus]) -> list[EngineStatus]:
+    def order(one: EngineStatus) -> tuple[bool, int, bytes]:
         return one.avoided, -one.version, _preference(model, one.state.backend_id)
 
-    return sorted(standings, key=order)
+    return sorted(statuses, key=order)
 
 
-@functools.lru_cache(maxsize=MAXIMUM_PREFERENCES)
+@functools.lru_cache(maxsize=MAX_CACHED_PREFERENCES)
 def _preference(model: str, backend_id: str) -> bytes:
-    """Return a model's own order among engines."""
+    """Return the sort key by which a model prefers engines: a hash of both names."""
     return hashlib.blake2b(f"{model}/{backend_id}".encode(), digest_size=8).digest()
--- a/src/runkeel/coordination/version_rollout.py
+++ b/src/runkeel/coordination/version_rollout.py
@@ -1,8 +1,8 @@
-"""Moves engines to the weight versions that trainers name: target against actual state.
+"""Rolls out the weight versions published by trainers, by reconciling engines with the targets.
 
-One loop compares what every engine reports with the newest version of each model and orders the
-next engines to change. An order without an answer is not repeated before the engine's own report
-has shown what became of it.
+A loop compares the version that every engine reports with the newest version of each model and
+orders the next engines to load it. An unanswered order is not repeated before the engine's own
+report has shown its outcome.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from runkeel.coordination.load_pacing import SLOW_LOAD_RATIO, LoadPacing
 from runkeel.coordination.order_lease import OrderLease
 from runkeel.coordination.rollout_plan import (
-    EngineStanding,
+    EngineStatus,
     ModelDemand,
     PlannedChange,
     plan_changes,
@@ -34,47 +34,44 @@
 from runkeel.gateway.backends import BackendDirectory, BackendState
 from runkeel.metrics import VERSION_ORDERS
 
-IDLE_CHECK_SECONDS = 0.5
-"""Engines are compared at least so often, also when nothing wakes the loop.
-
-Chosen, not measured.
-"""
+MAX_RECONCILE_INTERVAL_SECONDS = 0.5
+"""Longest interval between reconciliations if nothing wakes the loop."""
 
 LEASE_RETRY_SECONDS = 0.2
-"""Pause before the lease is claimed again after a lost answer. Chosen, not measured."""
+"""Pause before a claim of the lease is retried after a lost answer."""
 
 EXPECTED_LOAD_SECONDS = 0.9
-"""First report after an order; loads of idle engines took 1.06 to 1.10 s (lines engine_version)."""
+"""Delay before the first report query after an order: expected duration of a load."""
 
 REPORT_INTERVAL_SECONDS = 0.15
-"""Pause between the first reports of an engine that loads. Chosen: a seventh of a common load."""
+"""Initial interval between report queries to a loading engine."""
 
-UNANSWERED_SECONDS = 1.5
-"""After so long an order that shows no effect is taken as lost."""
+LOST_ORDER_TIMEOUT_SECONDS = 1.5
+"""An order that shows no effect for this long counts as lost."""
 
-LONGEST_REPORT_INTERVAL_SECONDS = 1.0
+MAX_REPORT_INTERVAL_SECONDS = 1.0
 REPORT_INTERVAL_GROWTH = 1.3
-"""An engine whose load takes long is asked less and less often: each report has its price."""
+"""Growth factor of the report interval while a load is slow, to bound the number of queries."""
 
-LONGEST_LOAD_SECONDS = 6.0
-"""An engine that no longer says that it is busy is given up after so long."""
+LOAD_TIMEOUT_SECONDS = 6.0
+"""Timeout of a load while the engine has not reported that it is busy."""
 
-LONGEST_BUSY_SECONDS = 30.0
-"""One that says so is waited for this long: loads take longer while many engines load."""
+BUSY_LOAD_TIMEOUT_SECONDS = 30.0
+"""Timeout of a load once the engine has reported that it is busy."""
 
-RETRY_SECONDS = 0.6
-"""An engine that could not be moved is left alone for so long."""
+CHANGE_RETRY_SECONDS = 0.6
+"""Pause before a failed change of an engine is retried."""
 
-RECONCILE_SHARE = 0.1
-"""Comparing all engines takes at most so large a part of the processor, however many there are."""
+MAX_RECONCILE_SHARE = 0.1
+"""Maximum share of processor time spent on reconciling, whatever the number of engines."""
 
-CALL_SECONDS = 1.0
-"""Longest wait for the answer to an order or for a report. Chosen, not measured."""
+CALL_TIMEOUT_SECONDS = 1.0
+"""Timeout of an order or a report query."""
 
 
 @dataclass(slots=True)
 class _Change:
-    """An engine that is under way to a version."""
+    """A change of an engine to another version, in progress."""
 
     model: str
     version: int
@@ -85,12 +82,13 @@
     """Reconciles the engines' versions while this node coordinates.
 
     Args:
-        configuration: the configuration in force.
-        versions: newest version by model, as named by trainers.
-        demand: what the batch jobs need of a model.
-        on_version: called with back end, model and version when an engine has changed.
-        running_at: items running at an engine; the least busy ones change first.
-        before_load: called with a back end that is about to be ordered to load a version.
+        configuration: returns the configuration in effect.
+        versions: newest version by model, as published by trainers; updated by the caller.
+        demand: returns what the batch jobs require of a model.
+        on_version: called with incarnation, model and version when an engine has changed.
+        count_running: returns the number of items in flight at an engine; engines with the fewest
+            change first.
+        before_load: called with the incarnation of an engine before it is ordered to load.
     """
 
     def __init__(
@@ -103,7 +101,7 @@
         versions: dict[str, int],
         demand: Callable[[str], ModelDemand],
         on_version: Callable[[str, str, int], None],
-        running_at: Callable[[str], int],
+        count_running: Callable[[str], int],
         before_load: Callable[[str], None] = lambda incarnation: None,
     ) -> None:
         self._directory = directory
@@ -114,7 +112,7 @@
         self._targets = versions
         self._demand = demand
         self._on_version = on_version
-        self._running_at = running_at
+        self._count_running = count_running
         self._before_load = before_load
         self._changing: dict[str, _Change] = {}
         self._actual: dict[tuple[str, str], int] = {}
@@ -125,9 +123,9 @@
         self._tasks: set[gevent.Greenlet] = set()
 
     def claim_lease(self) -> None:
-        """Claim the order lease, so that the wait of a new holder begins before an order is due.
+        """Claim the order lease early, so that a new holder's wait is over when orders are due.
 
-        Returns when the lease is held or another node has taken it.
+        Returns once the lease is held or another node has taken it.
         """
         while True:
             try:
@@ -139,62 +137,61 @@
                 gevent.sleep(LEASE_RETRY_SECONDS)
 
     def start(self) -> None:
-        """Start to reconcile."""
         self._loop = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Send no further order."""
+        """Stop reconciling; no further order is sent."""
         for task in [self._loop, *self._tasks]:
             if task is not None:
                 task.kill(block=False)
         self._changing.clear()
 
     def forget(self, state: BackendState) -> None:
-        """Forget what an engine had loaded: it is gone, or has started anew.
+        """Discard the known versions of an engine that is gone or has restarted.
 
-        A change that is under way ends by itself, by the engine's next answer or for want of one.
+        A change in progress ends with the engine's next answer or with its timeout.
         """
         for key in [key for key in self._actual if key[0] == state.incarnation]:
             del self._actual[key]
         self._retry_at.pop(state.incarnation, None)
 
     def wake(self) -> None:
-        """Compare again: a version was named or an engine changed."""
+        """Reconcile now: a version was published or an engine changed."""
         self._wake.set()
 
     def is_loading(self, incarnation: str, model: str) -> bool:
-        """Return whether an engine is under way to another version of a model."""
+        """Return whether an engine is changing to another version of a model."""
         change = self._changing.get(incarnation)
         return change is not None and change.model == model
 
     def _run(self) -> None:
         while True:
-            self._wake.wait(IDLE_CHECK_SECONDS)
+            self._wake.wait(MAX_RECONCILE_INTERVAL_SECONDS)
             self._wake.clear()
             started = steady_seconds()
             due = self._due()
-            compared_seconds = steady_seconds() - started
+            planning_seconds = steady_seconds() - started
             try:
-                self._order_all(due)
+                self._start_changes(due)
             except RunkeelError as error:
                 logger.info(
-                    "no orders for now",
+                    "version orders paused: order lease not confirmed",
                     code="orders_held",
                     reason=str(error.code),
                     detail=error.detail,
                 )
-                gevent.sleep(IDLE_CHECK_SECONDS)
-            # Only the comparing takes processor time; waiting for the store does not.
-            gevent.sleep(compared_seconds / RECONCILE_SHARE)
+                gevent.sleep(MAX_RECONCILE_INTERVAL_SECONDS)
+            # Waiting for the store takes no processor time, so only planning counts.
+            gevent.sleep(planning_seconds / MAX_RECONCILE_SHARE)
 
-    def _order_all(self, due: list[PlannedChange]) -> None:
-        """Order these engines to change. Raises RunkeelError while the lease is not confirmed."""
+    def _start_changes(self, due: list[PlannedChange]) -> None:
+        """Start these changes. Raises RunkeelError while the lease is not confirmed."""
         if not due:
             return
         self._lease.confirm()
         wait = self._lease.seconds_until_orders()
         if wait > 0:
-            gevent.sleep(min(wait, IDLE_CHECK_SECONDS))
+            gevent.sleep(min(wait, MAX_RECONCILE_INTERVAL_SECONDS))
             self._wake.set()
             return
         for change in due:
@@ -207,7 +204,7 @@
             task.rawlink(self._tasks.discard)
 
     def _due(self) -> list[PlannedChange]:
-        """Return the engines to order now."""
+        """Return the changes to start now."""
         configuration = self._configuration()
         if configuration is None:
             return []
@@ -223,29 +220,29 @@
     def _due_of_service(self, service: str, targets: dict[str, int]) -> list[PlannedChange]:
         engines = self._directory.of_service(service)
         loading = sum(1 for state in engines if state.incarnation in self._changing)
-        room = self._pacing_of(service).room(len(engines), loading)
-        if room <= 0:
+        available_loads = self._pacing_of(service).available_loads(len(engines), loading)
+        if available_loads <= 0:
             return []
-        return plan_changes(engines, targets, self._demand, self._standing, room)
+        return plan_changes(engines, targets, self._demand, self._engine_status, available_loads)
 
     def _pacing_of(self, service: str) -> LoadPacing:
         return self._pacing.setdefault(service, LoadPacing(EXPECTED_LOAD_SECONDS))
 
-    def _standing(self, state: BackendState, model: str) -> EngineStanding:
+    def _engine_status(self, state: BackendState, model: str) -> EngineStatus:
         now = steady_seconds()
         avoided = state.avoided(now)
-        resting = now < self._retry_at.get(state.incarnation, 0.0)
-        available = state.incarnation not in self._changing and not resting and not avoided
-        return EngineStanding(
+        backing_off = now < self._retry_at.get(state.incarnation, 0.0)
+        available = state.incarnation not in self._changing and not backing_off and not avoided
+        return EngineStatus(
             state,
-            self._version_ahead(state, model),
-            self._running_at(state.incarnation),
+            self._expected_version(state, model),
+            self._count_running(state.incarnation),
             available,
             avoided,
         )
 
-    def _version_ahead(self, state: BackendState, model: str) -> int:
-        """Return the version that an engine has or is under way to."""
+    def _expected_version(self, state: BackendState, model: str) -> int:
+        """Return the version that an engine has or is changing to."""
         version = self._version(state, model)
         change = self._changing.get(state.incarnation)
         if change is not None and change.model == model:
@@ -257,13 +254,13 @@
         return max(reported, self._actual.get((state.incarnation, model), 0))
 
     def _change(self, state: BackendState, model: str, version: int) -> None:
-        """Order one engine and wait for the effect."""
+        """Order one engine to change, and wait until it has or the change has failed."""
         started = steady_seconds()
         reached = False
         try:
             report = self._report(state)
             if report is None or report.busy:
-                # One order at a time: this one would be refused.
+                # An engine takes one order at a time and would refuse this one.
                 return
             if report.model_versions.get(model, 0) < version:
                 self._before_load(state.incarnation)
@@ -283,9 +280,9 @@
                 self._actual[(state.incarnation, model)] = version
                 self._on_version(state.incarnation, model, version)
             else:
-                self._retry_at[state.incarnation] = steady_seconds() + RETRY_SECONDS
+                self._retry_at[state.incarnation] = steady_seconds() + CHANGE_RETRY_SECONDS
             logger.info(
-                "engine change ended",
+                "version change of an engine ended",
                 code="engine_version",
                 backend=state.incarnation,
                 model=model,
@@ -298,12 +295,12 @@
     def _order(
         self, state: BackendState, model: str, version: int, sequence: int
     ) -> EngineOrderOutcome | None:
-        """Send an order; None when its answer was lost, so that it may still be carried out."""
+        """Send an order; returns None if its answer was lost, so that it may still take effect."""
         order = VersionOrder(
             model, version, self._holder, self._lease.token, expected_sequence=sequence
         )
         outgoing = self._protocol.encode_order(order, state.backend)
-        deadline = steady_seconds() + CALL_SECONDS
+        deadline = steady_seconds() + CALL_TIMEOUT_SECONDS
         outcome: EngineOrderOutcome | None = None
         try:
             answer = state.pool.request(outgoing, deadline, before_send=self._lease.check)
@@ -313,7 +310,7 @@
                 outcome = EngineOrderOutcome.REFUSED
         VERSION_ORDERS.labels(outcome.value if outcome else "unanswered").inc()
         logger.info(
-            "order sent",
+            "version order sent to an engine",
             code="engine_order",
             backend=state.incarnation,
             model=model,
@@ -332,40 +329,45 @@
         started = steady_seconds()
         gevent.sleep(EXPECTED_LOAD_SECONDS)
         interval = REPORT_INTERVAL_SECONDS
-        limit = LONGEST_LOAD_SECONDS
+        limit = LOAD_TIMEOUT_SECONDS
         while steady_seconds() - started < limit:
             report = self._report(state)
             if report is not None and report.model_versions.get(model, 0) >= version:
                 self._pacing_of(state.backend.service).observe(started, steady_seconds())
                 return True
             if report is not None and not report.busy:
-                if steady_seconds() - started > UNANSWERED_SECONDS:
+                if steady_seconds() - started > LOST_ORDER_TIMEOUT_SECONDS:
                     return False
             elif report is not None:
-                limit = LONGEST_BUSY_SECONDS
+                limit = BUSY_LOAD_TIMEOUT_SECONDS
             gevent.sleep(interval)
             if steady_seconds() - started > SLOW_LOAD_RATIO * EXPECTED_LOAD_SECONDS:
-                interval = min(LONGEST_REPORT_INTERVAL_SECONDS, interval * REPORT_INTERVAL_GROWTH)
+                interval = min(MAX_REPORT_INTERVAL_SECONDS, interval * REPORT_INTERVAL_GROWTH)
         return False
 
     def _report(self, state: BackendState) -> EngineReport | None:
         outgoing = self._protocol.encode_report_query(state.backend)
         try:
-            answer = state.pool.request(outgoing, steady_seconds() + CALL_SECONDS)
+            answer = state.pool.request(outgoing, steady_seconds() + CALL_TIMEOUT_SECONDS)
             if answer.status == 200:
-                return self._of_this_start(state, self._protocol.parse_report(answer.body))
+                return self._report_of_incarnation(state, self._protocol.parse_report(answer.body))
             problem = f"status {answer.status}"
         except (RunkeelError, ValueError, KeyError) as error:
             problem = str(error)
         logger.info(
-            "no report", code="engine_report_lost", backend=state.incarnation, error=problem
+            "engine did not report its state",
+            code="engine_report_lost",
+            backend=state.incarnation,
+            error=problem,
         )
         return None
 
-    def _of_this_start(self, state: BackendState, report: EngineReport) -> EngineReport | None:
-        """Return a report, None where it shows that the engine has started anew.
+    def _report_of_incarnation(
+        self, state: BackendState, report: EngineReport
+    ) -> EngineReport | None:
+        """Return a report; None if it shows that the engine has restarted.
 
-        Its count of orders would be right for an order by chance, and its versions are another's.
+        After a restart its versions and its order sequence do not belong to this incarnation.
         """
         self._directory.note_reported(state, report.start)
         return None if state.replaced else report
--- a/tests/coordination/test_rollout_plan.py
+++ b/tests/coordination/test_rollout_plan.py
@@ -1,12 +1,12 @@
-"""Which engines change next: models share the orders, dead engines don't count."""
+"""Selection of the engines to change: models share loads, failing engines don't count."""
 
 import unittest
 from types import SimpleNamespace
 
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
-from runkeel.coordination.load_pacing import CONCURRENT_SHARE, LoadPacing
-from runkeel.coordination.rollout_plan import EngineStanding, ModelDemand, plan_changes
+from runkeel.coordination.load_pacing import MAX_CONCURRENT_SHARE, LoadPacing
+from runkeel.coordination.rollout_plan import EngineStatus, ModelDemand, plan_changes
 
 MODELS = ("draft", "learn", "tune")
 ENGINES = 18
@@ -30,21 +30,23 @@
     def standing(self, state, model):
         avoided = state.backend_id in self.avoided
         version = self.have.get((state.backend_id, model), 1)
-        return EngineStanding(state, version, 0, not avoided, avoided)
+        return EngineStatus(state, version, 0, not avoided, avoided)
 
     def plan(self, loading=0):
         demand = ModelDemand(0, self.slack, self.items, False)
-        room = LoadPacing(0.9).room(len(self.engines), loading)
-        return plan_changes(self.engines, self.versions, lambda model: demand, self.standing, room)
+        available_loads = LoadPacing(0.9).available_loads(len(self.engines), loading)
+        return plan_changes(
+            self.engines, self.versions, lambda model: demand, self.standing, available_loads
+        )
 
     def count(self, changes):
         return [sum(change.model == model for change in changes) for model in MODELS]
 
-    def test_models_that_all_lack_engines_share_the_orders(self):
-        """agreste-grown scale-2: one model's engines all loaded before another's first one."""
+    def test_models_without_engines_share_the_loads(self):
+        """All engines of one model must not load before the first one of another."""
         self.versions = dict.fromkeys(MODELS, 3)
         changes = self.plan()
-        self.assertEqual(len(changes), int(ENGINES * CONCURRENT_SHARE))
+        self.assertEqual(len(changes), int(ENGINES * MAX_CONCURRENT_SHARE))
         self.assertLessEqual(max(self.count(changes)) - min(self.count(changes)), 1)
 
     def test_model_with_fewest_engines_goes_first(self):
@@ -62,12 +64,12 @@
         taken = [change.state.backend_id for change in self.plan()]
         self.assertEqual(len(set(taken)), len(taken))
 
-    def test_engines_under_way_take_their_part_of_the_room(self):
+    def test_loading_engines_count_against_the_limit(self):
         self.versions = dict.fromkeys(MODELS, 3)
         self.assertEqual(len(self.plan(loading=5)), 2)
 
     def test_models_prefer_different_engines(self):
-        """With few items a model, the first engines by name would serve all models."""
+        """With few items per model, all models would otherwise use the same engines."""
         self.items = 16
         self.slack = 0
         used = set()
@@ -76,7 +78,7 @@
             used.update(change.state.backend_id for change in self.plan())
         self.assertGreaterEqual(len(used), 4)
 
-    def test_failing_engines_are_not_counted_on(self):
+    def test_failing_engines_are_not_counted(self):
         self.items = 16
         self.slack = 0
         self.versions = {"draft": 2}
--- a/tests/coordination/test_version_rollout.py
+++ b/tests/coordination/test_version_rollout.py
@@ -1,4 +1,4 @@
-"""Which engines are moved to a new version, and how orders without an answer are settled."""
+"""Rollout of versions to engines, and the resolution of unanswered orders."""
 
 import json
 import unittest
@@ -13,17 +13,17 @@
 from runkeel.clock import steady_seconds
 from runkeel.coordination.order_lease import OrderLease
 from runkeel.coordination.rollout_plan import ModelDemand
-from runkeel.coordination.version_rollout import LONGEST_LOAD_SECONDS, VersionRollout
+from runkeel.coordination.version_rollout import LOAD_TIMEOUT_SECONDS, VersionRollout
 from runkeel.errors import ErrorCode, may_have_run
 from runkeel.gateway.backends import BackendDirectory
 from runkeel_lab.standins.document_store import MemoryDocumentStore
 
 SERVICE = "models"
-LONGEST_WAIT_SECONDS = 15.0
+WAIT_TIMEOUT_SECONDS = 15.0
 
 
 class OrderProtocol:
-    """Orders and reports as JSON, for the engine below."""
+    """Encodes orders and reports as JSON, for :class:`Engine`."""
 
     def encode_order(self, order, backend):
         body = {
@@ -49,7 +49,7 @@
 
 
 class SlowStore(MemoryDocumentStore):
-    """Confirmations end without an answer after a while as long as it is away."""
+    """A store whose writes time out with an unknown outcome while it is away."""
 
     def __init__(self, away_seconds):
         super().__init__()
@@ -64,7 +64,7 @@
 
 
 class Engine:
-    """An engine that takes orders; it can leave some unanswered and carry them out late."""
+    """An engine that takes orders; it can leave orders unanswered and apply them late."""
 
     def __init__(self, backend_id, models, load_seconds=0.05):
         self.backend_id = backend_id
@@ -85,7 +85,7 @@
         return Backend(self.backend_id, SERVICE, address, "zone", 8, False, {}, self.born)
 
     def restart(self, born, version):
-        """Start anew under the same id: it knows nothing of before."""
+        """Restart under the same id without any earlier state."""
         self.born, self.sequence, self.busy = born, 0, False
         self.versions = dict.fromkeys(self.versions, version)
 
@@ -154,7 +154,7 @@
         self.rollout.start()
         self.addCleanup(self.rollout.stop)
 
-    def _name(self, version, model="m"):
+    def _publish(self, version, model="m"):
         self.targets[model] = version
         self.rollout.wake()
 
@@ -162,60 +162,60 @@
         return sorted(engine.versions[model] for engine in self.engines)
 
     def _wait_versions(self, *expected):
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while self._versions() != sorted(expected):
             self.assertLess(steady_seconds(), deadline, self._versions())
             gevent.sleep(0.02)
         gevent.sleep(0.3)
         self.assertEqual(self._versions(), sorted(expected))
 
-    def test_without_slack_every_engine_is_moved(self):
+    def test_without_slack_every_engine_changes(self):
         self._start(4)
-        self._name(2)
+        self._publish(2)
         self._wait_versions(2, 2, 2, 2)
         self.assertEqual([len(engine.orders) for engine in self.engines], [1, 1, 1, 1])
 
-    def test_with_slack_half_of_the_engines_are_moved_in_turn(self):
+    def test_with_slack_half_of_the_engines_change_per_version(self):
         self._start(4, slack=1)
-        self._name(2)
+        self._publish(2)
         self._wait_versions(1, 1, 2, 2)
-        self._name(3)
+        self._publish(3)
         self._wait_versions(2, 2, 3, 3)
-        self._name(4)
+        self._publish(4)
         self._wait_versions(3, 3, 4, 4)
         self.assertEqual(sum(len(engine.orders) for engine in self.engines), 6)
 
-    def test_engines_that_jobs_no_longer_accept_are_moved(self):
+    def test_engines_that_jobs_no_longer_accept_change(self):
         self._start(4, slack=1)
         self.minimum["m"] = 2
-        self._name(2)
+        self._publish(2)
         self._wait_versions(2, 2, 2, 2)
 
-    def test_only_the_engines_that_the_jobs_can_fill_are_moved(self):
-        """The sweep's 3,000 engines took 1,456 orders for jobs of a few items."""
+    def test_only_engines_that_the_jobs_can_fill_change(self):
+        """A large fleet must not change all its engines for jobs of a few items."""
         self._start(6)
         self.items = 4
-        self._name(2)
+        self._publish(2)
         self._wait_versions(1, 1, 1, 1, 2, 2)
-        self._name(3)
+        self._publish(3)
         self._wait_versions(1, 1, 1, 1, 3, 3)
         self.items = 32
-        self._name(4)
+        self._publish(4)
         self._wait_versions(1, 1, 1, 4, 4, 4)
 
-    def test_more_engines_are_moved_when_items_wait(self):
+    def test_more_engines_change_when_items_wait(self):
         self._start(6)
         self.items = 16
         self.pressed = True
-        self._name(2)
+        self._publish(2)
         self._wait_versions(1, 2, 2, 2, 2, 2)
 
     def test_lost_order_is_settled_by_the_report(self):
-        """An order carried out late doesn't follow a second one for the same change."""
+        """A lost order may be applied late; it must not be sent a second time."""
         self._start(1)
         self.engines[0].lose = 1
         self.engines[0].late_seconds = 0.2
-        self._name(2)
+        self._publish(2)
         self._wait_versions(2)
         self.assertEqual(len(self.engines[0].orders), 1)
 
@@ -223,62 +223,62 @@
         self._start(1)
         self.engines[0].lose = 1
         self.engines[0].late_seconds = 60.0
-        self._name(2)
+        self._publish(2)
         self._wait_versions(2)
         orders = self.engines[0].orders
         self.assertEqual([order["sequence"] for order in orders], [0, 0])
 
-    def _put_anew(self, revision):
+    def _put_restarted(self, revision):
         self.directory.put(self.engines[0].backend, revision)
 
-    def test_engine_that_starts_anew_with_an_older_version_is_moved_again(self):
-        """The version that it once had was remembered by its id, so that it got no order."""
+    def test_engine_restarted_with_an_older_version_changes_again(self):
+        """The versions of an earlier incarnation must not suppress orders to a restarted engine."""
         self._start(1)
         self.engines[0].restart("1000", 1)
-        self._put_anew(1)
-        self._name(2)
+        self._put_restarted(1)
+        self._publish(2)
         self._wait_versions(2)
         self.engines[0].restart("2000", 1)
-        self._put_anew(2)
+        self._put_restarted(2)
         self._wait_versions(2)
         self.assertEqual([order["sequence"] for order in self.engines[0].orders], [0, 0])
 
-    def test_report_of_another_start_is_no_ground_for_an_order(self):
-        """Its count of orders would fit by chance; what it says is for the new start to begin."""
+    def test_report_of_another_incarnation_is_ignored(self):
+        """The order sequence of another incarnation may match by chance."""
         self._start(1)
         self.engines[0].restart("1000", 1)
-        self._put_anew(1)
+        self._put_restarted(1)
         before = self.directory.get("engine-0")
         self.engines[0].restart("2000", 1)
         self.assertIsNone(self.rollout._report(before))
         self.assertTrue(before.replaced)
         self.assertEqual(self.directory.get("engine-0").backend.start, "2000")
-        self._name(2)
+        self._publish(2)
         self._wait_versions(2)
         self.assertEqual(len(self.engines[0].orders), 1)
 
     def test_order_that_reaches_the_next_start_late_leaves_the_right_version(self):
-        """Its expected count fits once more; the version that is wanted comes all the same."""
+        """A restarted engine may apply a late order; the target must be reached all the same."""
         self._start(1)
         engine = self.engines[0]
         engine.restart("1000", 1)
-        self._put_anew(1)
+        self._put_restarted(1)
         engine.lose, engine.late_seconds = 1, 0.6
-        self._name(2)
+        self._publish(2)
         gevent.sleep(0.2)
         engine.restart("2000", 1)
-        self._put_anew(2)
-        self._name(3)
+        self._put_restarted(2)
+        self._publish(3)
         self._wait_versions(3)
         late, *after = engine.orders
         self.assertEqual(late["version"], 2)
         self.assertEqual({order["version"] for order in after}, {3})
 
-    def test_engine_that_is_busy_gets_no_order_until_it_is_not(self):
-        """Trial with 241 engines: 3,190 of 3,700 orders met an engine that was still loading."""
+    def test_busy_engine_gets_no_order(self):
+        """An engine that is still loading would refuse the order."""
         self._start(1)
         self.engines[0].busy = True
-        self._name(2)
+        self._publish(2)
         gevent.sleep(0.5)
         self.assertEqual(self.engines[0].orders, [])
         self.engines[0].busy = False
@@ -287,10 +287,10 @@
 
     def test_load_that_takes_long_is_waited_for_while_the_engine_is_busy(self):
         self._start(1)
-        self.engines[0].load_seconds = LONGEST_LOAD_SECONDS + 1.0
-        self._name(2)
+        self.engines[0].load_seconds = LOAD_TIMEOUT_SECONDS + 1.0
+        self._publish(2)
         self._wait_versions(2)
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not self.reached:
             self.assertLess(steady_seconds(), deadline)
             gevent.sleep(0.02)
@@ -299,21 +299,18 @@
     def test_engine_is_loading_for_its_own_model_only(self):
         self._start(1, models=("m", "other"))
         self.engines[0].load_seconds = 0.6
-        self._name(2)
+        self._publish(2)
         gevent.sleep(0.3)
         self.assertTrue(self.rollout.is_loading("engine-0", "m"))
         self.assertFalse(self.rollout.is_loading("engine-0", "other"))
 
-    def test_orders_follow_soon_after_the_store_is_back(self):
-        """Recorded with 195 machines: no order for 12 s after a store that was away for 3 s.
-
-        The pause that bounds the processor time also counted the wait for the store, ten times.
-        """
+    def test_orders_resume_soon_after_a_store_outage(self):
+        """The pause that bounds processor time must not count waits for the store."""
         self._start(1)
-        self._name(2)
+        self._publish(2)
         self._wait_versions(2)
         self.store.away = True
-        self._name(3)
+        self._publish(3)
         gevent.sleep(1.2)
         self.store.away = False
         back_at = steady_seconds()
