--- a/src/runkeel/coordination/order_lease.py
+++ b/src/runkeel/coordination/order_lease.py
@@ -1,9 +1,9 @@
-"""The right to give orders to engines: one holder at a time, by compare-and-swap in the store.
+"""Lease on sending orders to engines: one holder at a time, by compare-and-swap in the store.
 
-Engines need not check fences, so the sender does. A holder may send an order only within
-:data:`VALIDITY_SECONDS` of a write that confirmed its lease, counted from before that write. A new
-holder waits until every such time of the holder before has passed, and the pause between two
-holders besides.
+Engines are not required to check fencing tokens, so the sender enforces the lease. A holder may
+send an order only within :data:`VALIDITY_SECONDS` of the start of a write that confirmed its lease.
+A new holder waits until the previous holder's last confirmation is no longer valid, plus the
+configured pause between two holders.
 """
 
 from __future__ import annotations
@@ -19,21 +19,18 @@
 from runkeel.errors import ErrorCode, not_run
 
 VALIDITY_SECONDS = 0.6
-"""Orders are sent for so long after a confirmation; a new holder waits it out.
-
-Chosen: three times FRESH_SECONDS.
-"""
+"""How long after a confirmation orders may be sent; a new holder waits at least this long."""
 
 MARGIN_SECONDS = 0.2
-"""A new holder waits so much longer, for an order that was on its way. Chosen, not measured."""
+"""Additional wait of a new holder, for orders of the previous one that are in transit."""
 
-FRESH_SECONDS = 0.2
-"""A confirmation of this age need not be renewed before further orders."""
+CONFIRMATION_REUSE_SECONDS = 0.2
+"""A confirmation up to this age is reused for further orders."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Claim:
-    """What this node's last successful write says."""
+    """The lease as of this node's last successful write."""
 
     content: dict[str, Any]
     revision: int
@@ -43,10 +40,10 @@
 
 
 class OrderLease:
-    """The lease as seen by one node.
+    """One node's side of the lease.
 
     Args:
-        pause_seconds: least time between the orders of two holders.
+        pause_seconds: minimum pause between the orders of two holders, in seconds.
     """
 
     def __init__(self, store: DocumentStore, name: str, holder: str, pause_seconds: float) -> None:
@@ -56,21 +53,21 @@
         self._pause_seconds = pause_seconds
         self._claim: _Claim | None = None
         self._observed = (0, 0.0)
-        self._unsettled = False
-        """A write that takes the lease from another holder is on its way or just done."""
+        self._takeover_unconfirmed = False
+        """Whether a write that takes the lease from another holder may have been applied."""
         self._confirming = RLock()
-        """Several tasks of a term go by the lease; one asks the store at a time."""
+        """Serializes calls to the store, as several tasks of a term use the lease."""
 
     @property
     def token(self) -> int:
-        """Fencing token of the last claim; rises with each change of holder."""
+        """Fencing token of the last claim; increases with each change of holder."""
         return int(self._claim.content["token"]) if self._claim else 0
 
     def confirm(self) -> None:
-        """Prove that this node holds the lease, taking it if need be.
+        """Renew or acquire the lease.
 
         Raises:
-            RunkeelError: the store gave no answer or another node took the lease.
+            RunkeelError: the store did not answer, or another node took the lease.
         """
         with self._confirming:
             self._confirm()
@@ -78,60 +75,62 @@
     def _confirm(self) -> None:
         started = steady_seconds()
         if self._claim is None:
-            self._take(started)
+            self._acquire(started)
             return
         claim = self._claim
-        settled = not claim.content["pause"]
-        if settled and started - claim.confirmed_at <= FRESH_SECONDS:
+        pause_over = not claim.content["pause"]
+        if pause_over and started - claim.confirmed_at <= CONFIRMATION_REUSE_SECONDS:
             return
         content = claim.content
         if content["pause"] and started >= claim.orders_from:
-            # Told in the lease, so that this node need not wait again after a restart.
+            # Recorded in the lease, so that this node need not wait again after a restart.
             content = {**content, "pause": 0.0}
         try:
             stored = self._store.replace(
                 DocumentKind.ORDER_LEASE, self._name, content, claim.revision
             )
         except DocumentConflictError as conflict:
-            self._settle(conflict, started)
+            self._resolve_conflict(conflict, started)
             return
         self._claim = _Claim(content, stored.revision, started, claim.orders_from)
 
     def seconds_until_orders(self) -> float:
-        """Return how long this node has to wait before its first order."""
+        """Return how many seconds this node has to wait before its first order."""
         if self._claim is None:
             return self._pause_seconds
         return max(0.0, self._claim.orders_from - steady_seconds())
 
     def check(self) -> None:
-        """Call right before an order is sent. Raises RunkeelError when it must not be."""
+        """Raise RunkeelError if no order may be sent now; to be called right before each order."""
         now = steady_seconds()
         claim = self._claim
         if claim is None or now < claim.orders_from:
             raise not_run(ErrorCode.STALE_FENCE, "the order lease is not held yet")
         if now > claim.confirmed_at + VALIDITY_SECONDS:
-            raise not_run(ErrorCode.STALE_FENCE, "the order lease was not confirmed lately")
+            raise not_run(
+                ErrorCode.STALE_FENCE, "the last confirmation of the order lease has expired"
+            )
 
     @property
     def confirmation(self) -> tuple[int, float]:
-        """Revision of the last confirmation and the seconds since before it; revision 0: none."""
+        """Revision of the last confirmation and its age in seconds; revision 0: none."""
         if self._claim is None:
             return 0, 0.0
         return self._claim.revision, steady_seconds() - self._claim.confirmed_at
 
     def observe(self, revision: int, age_seconds: float) -> None:
-        """Note what another holder told of its last confirmation, at the receipt of its word.
+        """Record the last confirmation of another holder, as just received from it.
 
-        A successor that finds the lease at this revision knows since when no order was sent.
+        A successor that finds the lease at this revision counts its pause from that confirmation.
         """
         if revision:
             self._observed = (revision, steady_seconds() - age_seconds)
 
     def forget(self) -> None:
-        """Give up the lease; nothing is written."""
+        """Give up the lease without a write."""
         self._claim = None
 
-    def _take(self, started: float) -> None:
+    def _acquire(self, started: float) -> None:
         current = self._store.get(DocumentKind.ORDER_LEASE, self._name)
         if current is None:
             content = self._content(1, 0.0)
@@ -140,8 +139,8 @@
             return
         self._take_over(current, started)
 
-    def _settle(self, conflict: DocumentConflictError, started: float) -> None:
-        """A confirmation was refused: an unanswered write of ours, or another holder."""
+    def _resolve_conflict(self, conflict: DocumentConflictError, started: float) -> None:
+        """Handle a conflict: an own write whose answer was lost, or another holder."""
         self._claim = None
         current = conflict.current
         if current is None:
@@ -150,42 +149,47 @@
             self._take_over(current, started)
             return
         logger.warning(
-            "order lease lost",
+            "order lease lost to another holder",
             code="order_lease_lost",
             holder=current.content["holder"],
             token=current.content["token"],
         )
-        raise not_run(ErrorCode.STALE_FENCE, f"held by {current.content['holder']}")
+        raise not_run(
+            ErrorCode.STALE_FENCE, f"the order lease is held by {current.content['holder']}"
+        )
 
     def _take_over(self, current: Document, started: float) -> None:
-        """Write this node in as the holder, or confirm that it is."""
+        """Make this node the holder, or confirm that it is."""
         content = current.content
         own = content["holder"] == self._holder
-        if own and not self._unsettled:
+        if own and not self._takeover_unconfirmed:
             new_content = dict(content)
         else:
             pause = self._pause_after(current)
             new_content = self._content(int(content["token"]) + (not own), pause)
-        self._unsettled = self._unsettled or not own
+        self._takeover_unconfirmed = self._takeover_unconfirmed or not own
         stored = self._store.replace(
             DocumentKind.ORDER_LEASE, self._name, new_content, current.revision
         )
         self._accept(stored, new_content, started)
 
     def _pause_after(self, current: Document) -> float:
-        """Return how long after the last holder's last possible order this node may begin."""
+        """Return how many seconds from now this node must not send orders.
+
+        Counted from the previous holder's last confirmation if that was observed, else from now.
+        """
         pause = VALIDITY_SECONDS + self._pause_seconds + MARGIN_SECONDS
         revision, confirmed_at = self._observed
-        if revision != current.revision or self._unsettled:
+        if revision != current.revision or self._takeover_unconfirmed:
             return pause
         return max(0.0, confirmed_at + pause - steady_seconds())
 
     def _accept(self, stored: Document, content: dict[str, Any], started: float) -> None:
         pause = float(content["pause"])
-        self._unsettled = False
+        self._takeover_unconfirmed = False
         self._claim = _Claim(content, stored.revision, started, steady_seconds() + pause)
         logger.info(
-            "order lease taken",
+            "order lease acquired",
             code="order_lease",
             token=self.token,
             revision=stored.revision,
--- a/tests/coordination/test_order_lease.py
+++ b/tests/coordination/test_order_lease.py
@@ -1,4 +1,4 @@
-"""The order lease: one holder at a time, with a pause between two."""
+"""The order lease has one holder at a time, with a pause between two holders."""
 
 import unittest
 from unittest import mock
@@ -6,7 +6,7 @@
 from runkeel.api.documents import DocumentKind
 from runkeel.coordination import order_lease
 from runkeel.coordination.order_lease import (
-    FRESH_SECONDS,
+    CONFIRMATION_REUSE_SECONDS,
     MARGIN_SECONDS,
     VALIDITY_SECONDS,
     OrderLease,
@@ -55,33 +55,33 @@
         lease.confirm()
         lease.check()
 
-    def test_confirmation_of_a_moment_ago_is_not_repeated(self):
-        """Each call to the store has its price: 120 confirmations for 189 orders on a quiet day."""
+    def test_recent_confirmation_is_reused(self):
+        """Not every order may cost a call to the store."""
         lease = self._lease("a")
         lease.confirm()
         revision = self.store.revision
-        self.clock.now += FRESH_SECONDS / 2
+        self.clock.now += CONFIRMATION_REUSE_SECONDS / 2
         lease.confirm()
         lease.check()
         self.assertEqual(self.store.revision, revision)
-        self.clock.now += FRESH_SECONDS
+        self.clock.now += CONFIRMATION_REUSE_SECONDS
         lease.confirm()
         self.assertGreater(self.store.revision, revision)
         self.clock.now += VALIDITY_SECONDS
         lease.check()
 
-    def test_confirmation_of_a_new_holder_is_repeated_until_its_pause_is_settled(self):
+    def test_new_holder_confirms_until_the_end_of_its_pause_is_stored(self):
         self._lease("a").confirm()
         lease = self._lease("b")
         lease.confirm()
         self.clock.now += FULL_PAUSE + 0.01
         lease.confirm()
-        self.clock.now += FRESH_SECONDS / 2
+        self.clock.now += CONFIRMATION_REUSE_SECONDS / 2
         lease.confirm()
         lease.check()
         self.assertEqual(self.store.get(DocumentKind.ORDER_LEASE, "fleet").content["pause"], 0.0)
 
-    def test_frozen_holder_that_wakes_sends_nothing(self):
+    def test_holder_that_was_stalled_sends_nothing(self):
         first, second = self._lease("a"), self._lease("b")
         first.confirm()
         second.confirm()
@@ -121,7 +121,7 @@
         second.confirm()
         self.assertAlmostEqual(second.seconds_until_orders(), FULL_PAUSE)
 
-    def test_lost_answer_to_the_taking_does_not_shorten_the_pause(self):
+    def test_lost_answer_to_a_takeover_does_not_shorten_the_pause(self):
         first, second = self._lease("a"), self._lease("b")
         first.confirm()
         self.store.fail_next_write(StoreFault.ANSWER_LOST)
@@ -149,10 +149,10 @@
         restarted.check()
         self.assertEqual(restarted.token, second.token)
 
-    def test_lost_answer_to_a_confirmation_is_settled(self):
+    def test_lost_answer_to_a_confirmation_is_recovered(self):
         lease = self._lease("a")
         lease.confirm()
-        self.clock.now += FRESH_SECONDS + 0.01
+        self.clock.now += CONFIRMATION_REUSE_SECONDS + 0.01
         self.store.fail_next_write(StoreFault.ANSWER_LOST)
         with self.assertRaises(RunkeelError):
             lease.confirm()
@@ -162,7 +162,7 @@
 
 
 class SuspendedHolderTest(unittest.TestCase):
-    """A machine was suspended for seconds; another node may have given orders meanwhile."""
+    """Another node may have sent orders while a machine was suspended."""
 
     def test_holder_that_was_suspended_sends_nothing_until_it_has_confirmed(self):
         lease = OrderLease(MemoryDocumentStore(), "fleet", "a", PAUSE)
