--- a/src/runkeel/coordination/copy_comparison.py
+++ b/src/runkeel/coordination/copy_comparison.py
@@ -1,7 +1,7 @@
-"""Compares a node's copies with the coordinator's, so that none stays different unnoticed.
+"""Detects copies that differ from the coordinator's at the same revision.
 
-A page brings what has changed since a revision, which is right for a copy that holds what that
-revision says. One that decided something by itself, as what lapsed in an outage, may not.
+A page contains the changes since a revision, so it is complete only for a copy that matches that
+revision. A copy may not, as nodes decide on their own which documents have expired in an outage.
 """
 
 from __future__ import annotations
@@ -15,27 +15,26 @@
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.wire.generated.jobs.ttypes import FeedCopy
 
-DIFFERENCE_SECONDS = 1.0
-"""Two copies may differ so long before the whole is asked for, and so long between two such times.
+MAX_DIFFERENCE_SECONDS = 1.0
+"""How long copies may differ before a full copy is requested, and the interval of such requests.
 
-What is only late comes meanwhile, as a small page: the store's next change mostly takes less than
-a second. The whole is 300 bytes a server.
+A difference that is only a late update is resolved in this time by a small page.
 """
 
 
 class CopyComparison:
-    """Which kinds of one node's copies differ from the coordinator's, and since when.
+    """Tracks which kinds of a node's copies differ from the coordinator's, and since when.
 
     Args:
-        now: steady time.
+        now: returns the steady time in seconds.
     """
 
     def __init__(self, now: Callable[[], float] = steady_seconds) -> None:
         self._now = now
         self._differs_since: dict[DocumentKind, float] = {}
 
-    def note(self, watcher: DocumentWatcher, theirs: FeedCopy) -> None:
-        """Compare one copy, if both reflect the same revision."""
+    def compare(self, watcher: DocumentWatcher, theirs: FeedCopy) -> None:
+        """Compare a copy with the coordinator's if both are at the same revision."""
         if watcher.revision != theirs.revision:
             return
         if watcher.digest == theirs.digest:
@@ -43,14 +42,14 @@
         else:
             self._differs_since.setdefault(watcher.kind, self._now())
 
-    def revision_to_ask_from(self, watcher: DocumentWatcher) -> int:
-        """Return the revision after which news is wanted; 0 to be told the whole."""
+    def revision_to_read_from(self, watcher: DocumentWatcher) -> int:
+        """Return the revision after which to request changes; 0 requests a full copy."""
         since = self._differs_since.get(watcher.kind)
         now = self._now()
-        if since is None or now - since < DIFFERENCE_SECONDS:
+        if since is None or now - since < MAX_DIFFERENCE_SECONDS:
             return watcher.revision
         logger.warning(
-            "copy differs from the coordinator's",
+            "copy differs from the coordinator's; requesting a full copy",
             code="copy_differs",
             kind=str(watcher.kind),
             revision=watcher.revision,
@@ -60,6 +59,6 @@
         self._differs_since[watcher.kind] = now
         return 0
 
-    def forget(self) -> None:
-        """Forget all differences, as when the feed isn't followed any more."""
+    def reset(self) -> None:
+        """Discard all differences."""
         self._differs_since.clear()
--- a/src/runkeel/coordination/document_feed.py
+++ b/src/runkeel/coordination/document_feed.py
@@ -1,8 +1,8 @@
-"""The coordinator's side of the feed: tells other nodes how the followed documents change.
+"""The coordinator's side of the feed: serves changes of the followed documents to other nodes.
 
-The coordinator alone watches the store; every other node asks it for what its own copy lacks. A
-node's copy is described by the store's revision that it reflects, so that any coordinator can
-continue where another has ended.
+Only the coordinator watches the store; every other node requests the changes since the revision of
+its own copy. Revisions are those of the store, so that any coordinator can continue the feed of
+another one.
 """
 
 from __future__ import annotations
@@ -28,53 +28,50 @@
 )
 from runkeel.wire.network import PeerNetwork
 
-FRESH_SECONDS = 1.3
-FRESH_SHARE = 0.65
-"""Nodes rely on the coordinator's copy while the store has confirmed it within so long.
+MAX_COPY_AGE_SECONDS = 1.3
+MAX_COPY_AGE_SHARE = 0.65
+"""Maximum time since the store has confirmed the coordinator's copy for nodes to rely on it.
 
-The share is of the time in which news must be known; the shorter one counts.
+The share is of the propagation time; the shorter one counts.
 """
 
 COORDINATOR_WATCH_SECONDS = 0.7
 COORDINATOR_WATCH_SHARE = 0.35
-"""The coordinator's watches are short: they confirm its copy, which all nodes rely on."""
+"""The coordinator's watches are short, as each one confirms the copy that all nodes rely on."""
 
-LONGEST_WAIT_SECONDS = 2.0
-"""Longest time that a reply is held.
-
-Chosen: above what followers ask for (feed_follower.WAIT_SECONDS).
-"""
+MAX_HOLD_SECONDS = 2.0
+"""Upper bound of the time for which a follower may request that a reply is held."""
 
 
-def fresh_seconds(news_seconds: float) -> float:
-    """Return for how long a confirmation by the store counts."""
-    return min(FRESH_SECONDS, FRESH_SHARE * news_seconds)
+def fresh_seconds(propagation_seconds: float) -> float:
+    """Return the maximum age of the coordinator's copy, in seconds."""
+    return min(MAX_COPY_AGE_SECONDS, MAX_COPY_AGE_SHARE * propagation_seconds)
 
 
-def coordinator_watch_seconds(news_seconds: float) -> float:
-    """Return how long one of the coordinator's watches waits."""
-    return min(COORDINATOR_WATCH_SECONDS, COORDINATOR_WATCH_SHARE * news_seconds)
+def coordinator_watch_seconds(propagation_seconds: float) -> float:
+    """Return the duration of one of the coordinator's watches, in seconds."""
+    return min(COORDINATOR_WATCH_SECONDS, COORDINATOR_WATCH_SHARE * propagation_seconds)
 
 
 class _KindFeed:
-    """What has changed of one kind, as far as it matters to other nodes."""
+    """The changes of one kind of documents that are significant to other nodes."""
 
     def __init__(self, watcher: DocumentWatcher) -> None:
         self.watcher = watcher
-        self._changed_at: dict[str, int] = {}
+        self._changed_revisions: dict[str, int] = {}
 
     def note(self, document: Document, removed: bool) -> None:
-        """Take note of a change that the watcher has just taken."""
+        """Record a change that the watcher has just applied."""
         if removed:
-            self._changed_at.pop(document.name, None)
+            self._changed_revisions.pop(document.name, None)
         else:
-            self._changed_at[document.name] = document.revision
+            self._changed_revisions[document.name] = document.revision
 
     def page_after(self, revision: int, even_if_empty: bool) -> FeedPage | None:
-        """Return what a copy at a revision lacks.
+        """Return the changes that a copy at a revision lacks, None if there are none.
 
         Args:
-            even_if_empty: whether a page is wanted that brings a newer revision only.
+            even_if_empty: whether to return a page if only the revision is newer.
         """
         watcher = self.watcher
         if revision >= watcher.revision:
@@ -88,17 +85,18 @@
         return FeedPage(str(watcher.kind), watcher.revision, whole, documents, removed)
 
     def _changed_since(self, revision: int) -> list[str]:
-        return [name for name, at in self._changed_at.items() if at > revision]
+        return [name for name, at in self._changed_revisions.items() if at > revision]
 
 
 class DocumentFeed:
-    """Answers the nodes that follow this coordinator.
+    """Serves the feed to the nodes that follow this coordinator.
 
     Args:
-        watchers: of the kinds that are told.
-        coordinating_since: steady time since which this node coordinates; None: it does not.
-        fresh_for: a confirmation by the store counts for so long, in seconds.
-        successor: the coordinator that replaced this node, as far as it was told.
+        watchers: watchers of the kinds to serve.
+        coordinating_since: returns the steady time at which this node became coordinator; None:
+            it is not the coordinator.
+        max_copy_age: maximum time since the store has confirmed the copy, in seconds.
+        successor: returns the coordinator that replaced this node; None: none is known.
     """
 
     def __init__(
@@ -106,51 +104,51 @@
         network: PeerNetwork,
         watchers: Sequence[DocumentWatcher],
         coordinating_since: Callable[[], float | None],
-        fresh_for: float = FRESH_SECONDS,
+        max_copy_age: float = MAX_COPY_AGE_SECONDS,
         successor: Callable[[], Coordinator | None] = lambda: None,
     ) -> None:
         self._successor = successor
         self._kinds = {watcher.kind: _KindFeed(watcher) for watcher in watchers}
-        # A document that lapsed in an outage and came back may be no change here, where it was kept
-        # meanwhile; a node that had asked the store itself may have dropped it, or be about to.
+        # A document that expired in an outage and came back is no change in a copy that kept it
+        # meanwhile, but nodes that read the store themselves may have dropped it.
         for watcher in watchers:
             watcher.on_return(lambda document: self.note(document, removed=False))
         self._coordinating_since = coordinating_since
-        self._fresh_for = fresh_for
+        self._max_copy_age = max_copy_age
         self._changed = Event()
-        network.on_call(MessageType.FEED_READ, FeedRead, self._serve)
+        network.on_call(MessageType.FEED_READ, FeedRead, self._on_read)
 
     def note(self, document: Document, removed: bool) -> None:
-        """Take note of a change that matters to other nodes; called by the watchers' listeners."""
+        """Record a change that is significant to other nodes; called by the watchers' listeners."""
         self._kinds[document.kind].note(document, removed)
         self.wake()
 
     def wake(self) -> None:
-        """Have held replies looked at again, as when this node stops to coordinate."""
+        """Re-evaluate held replies, as when this node stops coordinating."""
         self._changed.set()
         self._changed = Event()
 
     def read(self, revisions: dict[str, int], wait_seconds: float) -> FeedReadReply:
-        """Return what a node lacks, waiting for a change if it lacks nothing."""
-        deadline = steady_seconds() + min(LONGEST_WAIT_SECONDS, wait_seconds)
+        """Return the changes after these revisions, waiting for some if there are none."""
+        deadline = steady_seconds() + min(MAX_HOLD_SECONDS, wait_seconds)
         while True:
             state = self._state()
             if state != FeedState.CURRENT:
-                return self._without_news(state)
+                return self._reply_without_pages(state)
             now = steady_seconds()
-            ends = now >= deadline
-            pages = self._pages_after(revisions, even_if_empty=ends)
-            if pages or ends:
+            timed_out = now >= deadline
+            pages = self._pages_after(revisions, even_if_empty=timed_out)
+            if pages or timed_out:
                 return FeedReadReply(state, pages, None, 0, self._copies())
-            stale_at = self._confirmed_at() + self._fresh_for
+            stale_at = self._confirmed_at() + self._max_copy_age
             self._changed.wait(max(0.0, min(deadline, stale_at) - now))
 
     def _copies(self) -> dict[str, FeedCopy]:
-        """Return what this node's copies hold, for a node to compare its own with."""
+        """Return the revisions and digests of this node's copies, for comparison by a follower."""
         watchers = [feed.watcher for feed in self._kinds.values()]
         return {str(one.kind): FeedCopy(one.revision, one.digest) for one in watchers}
 
-    def _without_news(self, state: int) -> FeedReadReply:
+    def _reply_without_pages(self, state: int) -> FeedReadReply:
         after = self._successor() if state == FeedState.NOT_COORDINATOR else None
         if after is None:
             return FeedReadReply(state, [], None, 0)
@@ -170,14 +168,14 @@
         if since is None:
             return FeedState.NOT_COORDINATOR
         confirmed_at = self._confirmed_at()
-        if confirmed_at < since or steady_seconds() - confirmed_at >= self._fresh_for:
+        if confirmed_at < since or steady_seconds() - confirmed_at >= self._max_copy_age:
             return FeedState.STALE
         return FeedState.CURRENT
 
     def _confirmed_at(self) -> float:
         return min(feed.watcher.fresh_at for feed in self._kinds.values())
 
-    def _serve(self, peer: str, message: FeedRead) -> tuple[int, FeedReadReply]:
+    def _on_read(self, peer: str, message: FeedRead) -> tuple[int, FeedReadReply]:
         reply = self.read(message.revisions, message.wait_ms / 1000.0)
         return MessageType.FEED_READ_REPLY, reply
 
--- a/src/runkeel/coordination/feed_follower.py
+++ b/src/runkeel/coordination/feed_follower.py
@@ -1,8 +1,8 @@
-"""Follows the coordinator's feed, so that the store need not be asked by every node.
+"""Follows the coordinator's feed, so that not every node has to watch the store.
 
-While the coordinator answers and its own copy is fresh, this node's watchers rest. When it falls
-silent, or says that the store has not confirmed its copy lately, they ask the store themselves,
-from the revision that they reflect.
+While the coordinator answers and its own copy is fresh, this node's watchers are suspended. When it
+stops answering, or reports that the store has not confirmed its copy recently, they watch the store
+themselves, continuing from their revision.
 """
 
 from __future__ import annotations
@@ -33,71 +33,73 @@
 )
 from runkeel.wire.network import PeerNetwork
 
-WAIT_SECONDS = 1.0
-WAIT_SHARE = 0.5
-"""A reply may be held for so long; the share is of the time in which news must be known."""
+MAX_HOLD_SECONDS = 1.0
+MAX_HOLD_SHARE = 0.5
+"""How long a reply may be held; the share is of the propagation time, and the minimum counts."""
 
-ANSWER_SECONDS = 0.4
-"""A reply that is so much later shows that the coordinator is not reached."""
+ANSWER_TIMEOUT_SECONDS = 0.4
+"""Timeout of a reply, in addition to the time for which it may be held."""
 
-FIRST_ANSWER_SECONDS = 0.1
-"""The same for the first answer that a node wants after its start: it knows nothing yet."""
+FIRST_ANSWER_TIMEOUT_SECONDS = 0.1
+"""The same for the first reply after a start, as the node has no documents yet."""
 
 RETRY_SECONDS = 0.3
-"""Pause before a feed is asked for again that was lost a while ago.
+"""Pause before a retry while the watchers use the store."""
 
-Chosen: twice the pause after a fresh loss.
-"""
-
-IDLE_SECONDS = 0.1
-"""Pause while no coordinator is known. Chosen, not measured."""
+NO_COORDINATOR_POLL_SECONDS = 0.1
+"""Interval of checks while there is no other coordinator."""
 
 GRACE_SHARE = 0.65
-"""A node that has lost the feed asks the store itself only when news would come too late without.
+"""A node that has lost the feed reads the store only when updates would otherwise be late.
 
-The share is of the time in which news must be known; it counts from the store's last confirmation
-of the coordinator's copy. Most feeds are back sooner, from the same coordinator or the next one,
-and each node that asks the store itself asks it several times a second.
+The share is of the propagation time and counts from the store's last confirmation of the
+coordinator's copy. Most feeds recover within it, from the same coordinator or its successor, and
+this saves the load on the store of many nodes that watch it at once.
 """
 
-START_SECONDS = 1.0
-"""A node that starts waits so long for a coordinator, before it asks the store for everything."""
+START_GRACE_SECONDS = 1.0
+"""How long a node waits for a coordinator after its start before it reads the store."""
 
 GRACE_RETRY_SECONDS = 0.15
-"""So often a feed is asked for that was lost just now."""
+"""Pause before a retry during the grace period after a loss of the feed."""
 
 STALE = "stale"
 _STATE_NAMES = {FeedState.STALE: STALE, FeedState.NOT_COORDINATOR: "not_coordinator"}
 
 
-def wait_seconds(news_seconds: float) -> float:
-    """Return how long a reply may be held."""
-    return min(WAIT_SECONDS, WAIT_SHARE * news_seconds)
+def wait_seconds(propagation_seconds: float) -> float:
+    """Return how long a reply may be held, in seconds.
+
+    Args:
+        propagation_seconds: maximum time in which a change must reach all nodes.
+    """
+    return min(MAX_HOLD_SECONDS, MAX_HOLD_SHARE * propagation_seconds)
 
 
-def grace_seconds(news_seconds: float, fresh_for: float) -> float:
-    """Return how long a node whose feed was lost waits before it asks the store.
+def grace_seconds(propagation_seconds: float, max_copy_age: float) -> float:
+    """Return how long a node that lost the feed waits before it reads the store, in seconds.
 
     Args:
-        news_seconds: changes must be known everywhere in this time.
-        fresh_for: age that a coordinator's copy may have, in seconds.
+        propagation_seconds: maximum time in which a change must reach all nodes.
+        max_copy_age: maximum age of the coordinator's copy, in seconds.
     """
-    return max(0.0, GRACE_SHARE * news_seconds - fresh_for)
+    return max(0.0, GRACE_SHARE * propagation_seconds - max_copy_age)
 
 
 class FeedFollower:
-    """One task that keeps this node's copies in step with the coordinator's.
+    """Keeps this node's copies up to date from the coordinator's feed, in one background task.
 
     Args:
-        coordinator: the coordinator as this node knows it; None when that is this node.
-        hold_seconds: a reply may be held for so long.
-        grace_seconds: a feed that was lost is waited for so long.
-        on_successor: called with what a replaced coordinator told of its successor.
+        coordinator: returns the coordinator known to this node; None if that is this node.
+        hold_seconds: how long the coordinator may hold a reply.
+        grace_seconds: how long to wait for a lost feed before the store is read.
+        on_successor: called with the address and epoch of the successor that a replaced
+            coordinator has reported.
 
     Attributes:
-        store_needed: set while the watchers have to ask the store themselves.
-        coordinator_needed: the same for the watcher of the coordinator's document, which asks the
-            store from the start.
+        store_needed: set while the watchers have to watch the store themselves.
+        coordinator_needed: the same for the watcher of the coordinator's document, which watches
+            the store from the start.
     """
 
     def __init__(
@@ -105,14 +107,14 @@
         network: PeerNetwork,
         shard: str,
         coordinator: Callable[[], Coordinator | None],
-        hold_seconds: float = WAIT_SECONDS,
+        hold_seconds: float = MAX_HOLD_SECONDS,
         grace_seconds: float = 0.0,
         on_successor: Callable[[NodeAddress, int], None] = lambda address, epoch: None,
     ) -> None:
         self._grace_seconds = grace_seconds
         self._on_successor = on_successor
         self._lost_at = 0.0
-        """Steady time at which the feed was lost that is waited for; 0: none is."""
+        """Steady time of the loss whose grace period runs; 0: none does."""
         self._network = network
         self._shard = shard
         self._coordinator = coordinator
@@ -121,38 +123,39 @@
         self._comparison = CopyComparison()
         self._task: gevent.Greenlet | None = None
         self._started_at = 0.0
-        self._resting = False
+        self._watchers_suspended = False
         self.store_needed = Event()
         self.coordinator_needed = Event()
         self.coordinator_needed.set()
 
     @property
     def following(self) -> bool:
-        """Whether the watchers rest."""
-        return self._resting
+        """Whether the feed is followed and the watchers are suspended."""
+        return self._watchers_suspended
 
     def start(self, watchers: Sequence[DocumentWatcher], delay_seconds: float = 0.0) -> None:
-        """Start to follow; the watchers must have been made with the events of this follower.
+        """Start to follow the feed.
 
         Args:
-            delay_seconds: the first coordinator is waited for so much longer.
+            watchers: watchers that were created with the events of this follower.
+            delay_seconds: additional wait for the first coordinator.
         """
         self._watchers = {watcher.kind: watcher for watcher in watchers}
         self._started_at = steady_seconds() + delay_seconds
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop to follow; the watchers ask the store."""
+        """Stop following the feed."""
         if self._task is not None:
             self._task.kill(block=False)
 
     def ask_store(self, reason: str) -> None:
-        """Have the watchers ask the store themselves."""
-        if self._resting or not self.store_needed.is_set():
-            logger.info("feed not followed", code="feed_lost", reason=reason)
-        self._resting = False
+        """Have the watchers watch the store themselves."""
+        if self._watchers_suspended or not self.store_needed.is_set():
+            logger.info("feed lost; watching the store directly", code="feed_lost", reason=reason)
+        self._watchers_suspended = False
         self._lost_at = 0.0
-        self._comparison.forget()
+        self._comparison.reset()
         self.store_needed.set()
         self.coordinator_needed.set()
 
@@ -160,101 +163,101 @@
         while True:
             coordinator = self._coordinator()
             if coordinator is None:
-                if steady_seconds() - self._started_at >= START_SECONDS:
+                if steady_seconds() - self._started_at >= START_GRACE_SECONDS:
                     self.ask_store("no other coordinator")
-                gevent.sleep(IDLE_SECONDS)
+                gevent.sleep(NO_COORDINATOR_POLL_SECONDS)
                 continue
             problem = self._read(coordinator)
             FEED_READS.labels(problem or "current").inc()
             if problem:
-                self._lost(problem)
-                gevent.sleep(RETRY_SECONDS if not self._resting else GRACE_RETRY_SECONDS)
-            elif not self._resting:
-                self._rest(coordinator)
+                self._on_feed_failure(problem)
+                gevent.sleep(RETRY_SECONDS if not self._watchers_suspended else GRACE_RETRY_SECONDS)
+            elif not self._watchers_suspended:
+                self._suspend_watchers(coordinator)
             else:
                 self._lost_at = 0.0
                 self.coordinator_needed.clear()
 
-    def _lost(self, problem: str) -> None:
-        """Have the store asked, unless the feed may be back before that is necessary."""
+    def _on_feed_failure(self, problem: str) -> None:
+        """Have the watchers use the store, unless the grace period for the feed still runs."""
         now = steady_seconds()
         self._lost_at = self._lost_at or now
-        if not self._resting or now - self._lost_at >= self._grace_seconds:
+        if not self._watchers_suspended or now - self._lost_at >= self._grace_seconds:
             self.ask_store(problem)
         elif problem != STALE:
-            # The store alone knows who coordinates now, unless the one before told.
+            # Only the store has a new coordinator that the previous one has not reported.
             self.coordinator_needed.set()
 
-    def _rest(self, coordinator: Coordinator) -> None:
-        """Let the watchers rest, unless this node has become coordinator meanwhile."""
-        if not self._still(coordinator):
+    def _suspend_watchers(self, coordinator: Coordinator) -> None:
+        """Suspend the watchers, unless the coordinator has changed meanwhile."""
+        if not self._is_current(coordinator):
             return
         logger.info(
-            "feed followed",
+            "following the coordinator's feed",
             code="feed_followed",
             coordinator=coordinator.node_id,
             epoch=coordinator.epoch,
             revisions=self._revisions(),
         )
-        self._resting = True
+        self._watchers_suspended = True
         self.store_needed.clear()
         self.coordinator_needed.clear()
 
-    def _still(self, coordinator: Coordinator) -> bool:
+    def _is_current(self, coordinator: Coordinator) -> bool:
         known = self._coordinator()
         return known is not None and known.node_id == coordinator.node_id
 
     def _read(self, coordinator: Coordinator) -> str:
-        """Take what the coordinator has; returns what went wrong, empty for nothing."""
-        # The first answer is wanted at once: until it is there, the store is asked.
-        held = self._hold_seconds if self._resting else 0.0
-        known = self._resting or self.store_needed.is_set()
-        answer_seconds = ANSWER_SECONDS if known else FIRST_ANSWER_SECONDS
-        asked_from = {
-            str(kind): self._comparison.revision_to_ask_from(watcher)
+        """Read the feed once; returns the problem, or an empty string if there was none."""
+        # The first reply is needed at once, as the store is in use until then.
+        held = self._hold_seconds if self._watchers_suspended else 0.0
+        known = self._watchers_suspended or self.store_needed.is_set()
+        answer_timeout_seconds = ANSWER_TIMEOUT_SECONDS if known else FIRST_ANSWER_TIMEOUT_SECONDS
+        revisions = {
+            str(kind): self._comparison.revision_to_read_from(watcher)
             for kind, watcher in self._watchers.items()
         }
-        message = FeedRead(self._shard, asked_from, int(held * 1000))
+        message = FeedRead(self._shard, revisions, int(held * 1000))
         try:
             reply = self._network.call(
                 coordinator.node_id,
                 MessageType.FEED_READ,
                 message,
                 FeedReadReply,
-                held + answer_seconds,
+                held + answer_timeout_seconds,
             )
             if reply.successor is not None:
                 self._on_successor(reply.successor, reply.successor_epoch)
             if reply.state != FeedState.CURRENT:
                 return _STATE_NAMES.get(reply.state, "unknown")
-            if not self._still(coordinator):
+            if not self._is_current(coordinator):
                 return "replaced"
             for page in reply.pages:
-                self._take(page)
+                self._apply_page(page)
             for kind, theirs in (reply.copies or {}).items():
-                self._comparison.note(self._watchers[DocumentKind(kind)], theirs)
+                self._comparison.compare(self._watchers[DocumentKind(kind)], theirs)
         except RunkeelError as error:
             return str(error.code)
         except (KeyError, ValueError) as error:
-            logger.warning("feed not understood", code="bad_feed", error=repr(error))
+            logger.warning("malformed reply of the feed", code="bad_feed", error=repr(error))
             return "not_understood"
         return ""
 
-    def _take(self, page: FeedPage) -> None:
+    def _apply_page(self, page: FeedPage) -> None:
         kind = DocumentKind(page.kind)
         documents = tuple(
             Document(kind, one.name, one.revision, _content(one)) for one in page.documents
         )
-        taken = DocumentPage(kind, page.revision, page.whole, documents, tuple(page.removed))
-        self._watchers[kind].take(taken)
+        applied = DocumentPage(kind, page.revision, page.whole, documents, tuple(page.removed))
+        self._watchers[kind].take(applied)
 
     def _revisions(self) -> dict[str, int]:
         return {str(kind): watcher.revision for kind, watcher in self._watchers.items()}
 
 
-def _content(told: FeedDocument) -> Any:
-    """Return a document's content; one that can't be read costs only itself, and is told so."""
+def _content(document: FeedDocument) -> Any:
+    """Return a document's content; None if malformed, so that the other documents still count."""
     try:
-        return json.loads(told.content)
+        return json.loads(document.content)
     except (ValueError, RecursionError):
         return None
--- a/tests/coordination/feed_machine.py
+++ b/tests/coordination/feed_machine.py
@@ -1,10 +1,10 @@
-"""Random histories of a kind of documents, told to nodes by the store and by one another.
+"""State machine: random histories of documents that nodes get from the store and each other.
 
-Answers of the store and pages of other nodes arrive late and in any order. The oracle knows every
-change. It checks that a copy never goes back, that what is gone stays gone, and that a copy holds
-what its revision claims: all that matters to other nodes up to that revision.
+Answers of the store and pages of other nodes arrive late and in any order. The oracle records every
+change. It checks that a copy never goes back, that removed documents stay removed, and that a copy
+contains all significant changes up to its revision.
 
-A document's state only moves forward and names are not used again, as with servers.
+A document's state only advances and names are not reused, as with servers.
 """
 
 from hypothesis import strategies
@@ -37,7 +37,7 @@
 
 
 class _Node:
-    """A node's copy and feed; the machine delivers everything."""
+    """A node's copy and feed; the machine delivers all answers and pages."""
 
     def __init__(self, store):
         self.watcher = DocumentWatcher(store, KIND, self._changed)
@@ -69,13 +69,13 @@
         self.nodes = [_Node(self.store) for _ in range(NODES)]
         self.history = []
         self.names = [f"s{number}" for number in range(NAMES)]
-        self.born = NAMES
+        self.created = NAMES
         self.states = {}
         self.late = []
 
     @rule(number=name_numbers, moves=strategies.booleans())
     def change(self, number, moves):
-        """A server's entry is written; its state moves on or only its heartbeat."""
+        """Write a server's document; either its state advances or it is only a heartbeat."""
         name = self.names[number]
         if moves or name not in self.states:
             self.states[name] = self.states.get(name, 0) + 1
@@ -89,8 +89,8 @@
         if name in self.states:
             self.store.remove(KIND, name)
             self.history.append((self.store.revision, name, None))
-        self.names[number] = f"s{self.born}"
-        self.born += 1
+        self.names[number] = f"s{self.created}"
+        self.created += 1
 
     @rule()
     def forget_history(self):
@@ -98,7 +98,7 @@
 
     @rule(number=node_numbers, late=strategies.booleans())
     def ask_store(self, number, late):
-        """A node's watch is answered, now or later; a lost history makes it list."""
+        """Answer a node's watch, now or later; a lost history makes it list."""
         watcher = self.nodes[number].watcher
         try:
             changes = self.store.watch(KIND, watcher.revision, 0.0)
@@ -110,7 +110,7 @@
 
     @rule(number=node_numbers, other=node_numbers, late=strategies.booleans())
     def follow(self, number, other, late):
-        """A node is told what it lacks by another one, now or later."""
+        """Send a node the changes that it lacks from another node, now or later."""
         watcher = self.nodes[number].watcher
         if number == other or not self.nodes[other].watcher.revision:
             return
@@ -127,11 +127,11 @@
     @precondition(lambda self: self.late)
     @rule(number=strategies.integers(0, 20), again=strategies.booleans())
     def deliver_late(self, number, again):
-        """What was held up arrives; some of it arrives once more later."""
-        place = number % len(self.late)
-        self.late[place]()
+        """Deliver a delayed answer or page; some are delivered once more later."""
+        position = number % len(self.late)
+        self.late[position]()
         if not again:
-            self.late.pop(place)
+            self.late.pop(position)
 
     @invariant()
     def copies_hold_what_their_revision_claims(self):
--- a/tests/coordination/lapse_machine.py
+++ b/tests/coordination/lapse_machine.py
@@ -1,8 +1,8 @@
-"""Random histories of servers that lapse in outages and come back, told from copy to copy.
+"""State machine: servers expire in store outages and come back, passed on from copy to copy.
 
-One node coordinates; the others ask the store or the coordinator, in any order. Each node knows by
-itself whether there was an outage, and then keeps what lapsed until it gives it up. The oracle is
-the store: what it has when all is quiet, every node has in the end, and nothing else.
+One node coordinates; the others read the store or the coordinator, in any order. Each node decides
+on its own whether there was an outage, and then keeps expired servers for a while. The oracle is
+the store: once changes have stopped, every node must have exactly its documents.
 """
 
 from hypothesis import strategies
@@ -10,7 +10,7 @@
 
 from runkeel.api.documents import Document, DocumentKind, DocumentPage, HistoryLostError
 from runkeel.clock import steady_seconds
-from runkeel.coordination.copy_comparison import DIFFERENCE_SECONDS, CopyComparison
+from runkeel.coordination.copy_comparison import MAX_DIFFERENCE_SECONDS, CopyComparison
 from runkeel.coordination.document_feed import DocumentFeed, json
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel_lab.standins.document_store import MemoryDocumentStore
@@ -30,7 +30,7 @@
 
 
 class _Node:
-    """A node's copy and feed; it tells only what has changed in its own eyes."""
+    """A node's copy and feed; it passes on only changes of its own copy."""
 
     def __init__(self, store, now):
         self.returned_at = 0.0
@@ -65,14 +65,14 @@
             self.watcher._list_due = True
             self.watcher._step()
 
-    def give_up(self):
-        """Let the time for which lapsed servers are kept be over."""
+    def drop_expired(self):
+        """Drop the expired servers that are still kept."""
         self.watcher._lapsed._expire(self.watcher._lapsed._ends_at)
         self.returned_at = 0.0
 
     def follow(self, coordinator):
-        asked_from = self.comparison.revision_to_ask_from(self.watcher)
-        reply = coordinator.feed.read({str(KIND): asked_from}, 0.0)
+        revision = self.comparison.revision_to_read_from(self.watcher)
+        reply = coordinator.feed.read({str(KIND): revision}, 0.0)
         for page in reply.pages:
             documents = tuple(
                 Document(KIND, one.name, one.revision, json.loads(one.content))
@@ -80,10 +80,10 @@
             )
             removed = tuple(page.removed)
             self.watcher.take(DocumentPage(KIND, page.revision, page.whole, documents, removed))
-        self.comparison.note(self.watcher, reply.copies[str(KIND)])
+        self.comparison.compare(self.watcher, reply.copies[str(KIND)])
 
 
-class LapseMachine(RuleBasedStateMachine):
+class ExpiryMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
         self.clock = 0.0
@@ -98,12 +98,12 @@
 
     @rule(number=name_numbers, changed=strategies.booleans())
     def come_back(self, number, changed):
-        """A server writes its entry, mostly with the content that it had before."""
+        """Write a server's document, mostly with the content that it had before."""
         self.changes += changed and number
         self.store.put(KIND, f"s{number}", f"changed {self.changes} times")
 
     @rule(number=name_numbers)
-    def lapse(self, number):
+    def expire(self, number):
         self.store.remove(KIND, f"s{number}")
 
     @rule()
@@ -111,39 +111,39 @@
         self.store.compact()
 
     @rule(number=node_numbers)
-    def give_up(self, number):
-        self.nodes[number].give_up()
+    def drop_expired(self, number):
+        self.nodes[number].drop_expired()
 
     @rule(number=name_numbers, seen=strategies.lists(strategies.booleans(), min_size=2, max_size=2))
-    def lapse_in_outage(self, number, seen):
-        """A server lapses, and every node asks the store; some of them saw the outage."""
-        self.lapse(number)
+    def expire_in_outage(self, number, seen):
+        """Let a server expire and every node read the store; some nodes have seen the outage."""
+        self.expire(number)
         for node, after_outage in zip(range(FOLLOWERS + 1), seen, strict=True):
             self.ask_store(node, after_outage)
 
     @rule(number=node_numbers, after_outage=strategies.booleans())
     def ask_store(self, number, after_outage):
-        """A node asks the store; what lapsed is kept from now on if it saw an outage."""
+        """Have a node read the store; it keeps expired servers if it has seen an outage."""
         if after_outage:
             self.nodes[number].returned_at = steady_seconds()
         self.nodes[number].ask_store()
 
     @rule(number=strategies.integers(0, FOLLOWERS - 1))
     def follow(self, number):
-        """What the store has, and the coordinator has seen there, is known after one page."""
+        """Have a follower read one page; it must then have what the coordinator has seen."""
         follower = self.followers[number]
         follower.follow(self.coordinator)
         if self.coordinator.watcher.revision == self.store.revision:
             missing = set(self.store.names(KIND)) - follower.names
-            assert not missing, f"{missing} came back unheard of"
+            assert not missing, f"{missing} came back unnoticed"
 
     def teardown(self):
-        """All is quiet: what is kept is given up, and every node follows for a while."""
+        """Let every node drop the servers that it kept and follow for a while, without changes."""
         self.coordinator.ask_store()
         for node in self.nodes:
-            node.give_up()
+            node.drop_expired()
         for follower in self.followers:
             for _ in range(3):
                 follower.follow(self.coordinator)
-                self.clock += DIFFERENCE_SECONDS
+                self.clock += MAX_DIFFERENCE_SECONDS
             assert follower.names == set(self.store.names(KIND)), "a copy stays different"
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -1,4 +1,4 @@
-"""Nodes follow the coordinator's copy and ask the store only when they can't."""
+"""Nodes follow the coordinator's copy and read the store only when they can't."""
 
 import unittest
 import unittest.mock
@@ -21,14 +21,14 @@
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 KIND = DocumentKind.BACKEND
-LONGEST_WAIT_SECONDS = 10.0
+WAIT_TIMEOUT_SECONDS = 10.0
 WATCH_SECONDS = 0.2
 GRACE_SECONDS = 1.0
-LAPSE_SECONDS = 0.1
+EXPIRY_SECONDS = 0.1
 
 
 class _Node:
-    """What a fleet node makes of the feed; it is told who coordinates."""
+    """The feed as a fleet node uses it; the test sets who coordinates."""
 
     def __init__(self, network, store, name, grace=0.0, lapse=0.0):
         self.name = name
@@ -36,14 +36,14 @@
         self.coordinator = None
         self.since = None
         self.successor = None
-        self.told = []
+        self.reported = []
         peers = network.node(name)
         self.follower = FeedFollower(
             peers,
             "fleet",
             lambda: self.coordinator,
             grace_seconds=grace,
-            on_successor=lambda address, epoch: self.told.append((address.node_id, epoch)),
+            on_successor=lambda address, epoch: self.reported.append((address.node_id, epoch)),
         )
         self.watcher = DocumentWatcher(
             store,
@@ -105,17 +105,17 @@
         node.coordinator = SimpleNamespace(node_id=coordinator.name, epoch=1)
 
     def follower(self, name="n", grace=0.0):
-        """Return a node that follows, with a store of its own address."""
-        store = _OwnAddress(self.objects)
+        """Return a node that follows the feed, and its connection to the store."""
+        store = _StoreConnection(self.objects)
         node = self._node(name, store, grace)
         self.follow(node, self.coordinator)
         self.wait(lambda: node.following)
         return node, store
 
-    def wait(self, condition, seconds=LONGEST_WAIT_SECONDS):
+    def wait(self, condition, seconds=WAIT_TIMEOUT_SECONDS):
         deadline = steady_seconds() + seconds
         while not condition():
-            self.assertLess(steady_seconds(), deadline, "waited too long")
+            self.assertLess(steady_seconds(), deadline, "timed out")
             gevent.sleep(0.01)
 
     def test_changes_arrive_without_calls_to_the_store(self):
@@ -129,30 +129,31 @@
         self.wait(lambda: node.content == {"s2": "ready"})
         self.assertEqual(store.calls, before)
 
-    def test_node_that_the_store_refuses_gets_the_news(self):
+    def test_node_that_the_store_refuses_gets_updates(self):
         node, store = self.follower()
         store.refused = True
         self.objects.put(KIND, "s1", "draining")
         self.wait(lambda: node.content == {"s1": "draining"})
 
-    def test_silent_coordinator_is_left_for_the_store(self):
+    def test_store_is_read_when_the_coordinator_is_silent(self):
         node, _ = self.follower()
         self.network.silent.add("c")
         self.objects.put(KIND, "s1", "draining")
         self.wait(lambda: node.content == {"s1": "draining"}, 2.0)
         self.assertFalse(node.following)
 
-    def test_stale_coordinator_is_left_for_the_store(self):
-        """The store refuses the coordinator and serves others."""
+    def test_store_is_read_when_the_coordinator_is_stale(self):
+        """The coordinator's copy is no longer confirmed, while others reach the store."""
         node, _ = self.follower()
         self.coordinator.watcher.stop()
         self.objects.put(KIND, "s1", "draining")
         self.wait(
-            lambda: node.content == {"s1": "draining"}, document_feed.FRESH_SECONDS + WATCH_SECONDS
+            lambda: node.content == {"s1": "draining"},
+            document_feed.MAX_COPY_AGE_SECONDS + WATCH_SECONDS,
         )
 
-    def test_feed_that_is_soon_back_is_waited_for(self):
-        """Large trouble-1: 183 nodes asked the store five to eight times each, for 1.8 s."""
+    def test_store_is_not_read_during_the_grace_period(self):
+        """A short loss of the feed must not make all nodes read the store."""
         node, store = self.follower(grace=GRACE_SECONDS)
         gevent.sleep(2 * WATCH_SECONDS)
         before = store.calls
@@ -164,31 +165,31 @@
         gevent.sleep(GRACE_SECONDS)
         self.assertEqual((store.calls, node.following), (before, True))
 
-    def test_feed_that_stays_away_is_left_in_time_for_the_news(self):
-        """A change must be known in 4 s: 1.3 s that the copy may be old, then the grace."""
-        news = 4.0
-        fresh = document_feed.fresh_seconds(news)
-        held = feed_follower.wait_seconds(news) + feed_follower.ANSWER_SECONDS
-        grace = feed_follower.grace_seconds(news, fresh)
+    def test_store_is_read_after_the_grace_period(self):
+        """The age of the copy plus the grace period must stay below the propagation time."""
+        propagation = 4.0
+        fresh = document_feed.fresh_seconds(propagation)
+        held = feed_follower.wait_seconds(propagation) + feed_follower.ANSWER_TIMEOUT_SECONDS
+        grace = feed_follower.grace_seconds(propagation, fresh)
         self.assertGreater(grace, 1.0)
-        self.assertLess(max(fresh, held) + grace + feed_follower.RETRY_SECONDS, news - 0.9)
+        self.assertLess(max(fresh, held) + grace + feed_follower.RETRY_SECONDS, propagation - 0.9)
         node, _ = self.follower(grace=GRACE_SECONDS)
         self.network.silent.add("c")
         self.objects.put(KIND, "s1", "draining")
         self.wait(lambda: node.content == {"s1": "draining"}, GRACE_SECONDS + 1.5)
         self.assertFalse(node.following)
 
-    def test_where_news_must_come_soon_nothing_is_waited_for(self):
+    def test_no_grace_period_for_a_short_propagation_time(self):
         self.assertEqual(feed_follower.grace_seconds(2.0, document_feed.fresh_seconds(2.0)), 0.0)
 
-    def test_replaced_coordinator_tells_of_its_successor(self):
-        """Otherwise each node asks the store who coordinates."""
-        node, _ = self.follower(grace=LONGEST_WAIT_SECONDS)
+    def test_replaced_coordinator_reports_its_successor(self):
+        """Otherwise each node would read the store to find the new coordinator."""
+        node, _ = self.follower(grace=WAIT_TIMEOUT_SECONDS)
         address = Address("127.0.0.1", 1)
         self.coordinator.successor = Coordinator("d", address, "zone", 2)
         self.coordinator.since = None
         self.coordinator.feed.wake()
-        self.wait(lambda: ("d", 2) in node.told)
+        self.wait(lambda: ("d", 2) in node.reported)
 
     def test_coordinator_of_a_new_term_is_stale_until_the_store_has_confirmed_its_copy(self):
         node = self._node("d", self.objects)
@@ -204,13 +205,13 @@
         self.wait(lambda: not node.following, 1.0)
 
     def test_revision_of_a_copy_that_lacks_nothing_rises_too(self):
-        """A watch from a revision that the store has forgotten would cost a list."""
+        """A watch from a revision that the store has compacted would require a list."""
         node, _ = self.follower()
         latest = self.objects.put(DocumentKind.JOB, "another kind", 1).revision
         self.wait(lambda: node.watcher.revision >= latest)
 
     def test_node_that_starts_under_a_coordinator_does_not_ask_the_store(self):
-        store = _OwnAddress(self.objects)
+        store = _StoreConnection(self.objects)
         node = _Node(self.network, store, "n")
         self.follow(node, self.coordinator)
         node.start()
@@ -219,16 +220,18 @@
         self.assertEqual(store.calls, 0)
 
     def test_node_that_starts_under_a_dark_coordinator_soon_asks_the_store(self):
-        """It knows nothing yet, and refuses clients until it does."""
+        """It has no documents yet and refuses clients until it has."""
         self.network.dark.add("c")
         node = _Node(self.network, self.objects, "n")
         self.follow(node, self.coordinator)
-        with unittest.mock.patch.object(feed_follower, "ANSWER_SECONDS", LONGEST_WAIT_SECONDS):
+        with unittest.mock.patch.object(
+            feed_follower, "ANSWER_TIMEOUT_SECONDS", WAIT_TIMEOUT_SECONDS
+        ):
             node.start()
             self.addCleanup(node.stop)
-            self.wait(lambda: node.content, LONGEST_WAIT_SECONDS / 2)
+            self.wait(lambda: node.content, WAIT_TIMEOUT_SECONDS / 2)
 
-    def test_insignificant_changes_are_not_told(self):
+    def test_insignificant_changes_are_not_sent(self):
         node, _ = self.follower()
         gevent.sleep(2 * WATCH_SECONDS)
         self.coordinator.insignificant.add("heartbeat")
@@ -237,7 +240,7 @@
         self.wait(lambda: "s2" in node.content)
         self.assertEqual(node.content["s1"], "ready")
 
-    def test_nothing_is_told_to_a_copy_that_lacks_nothing(self):
+    def test_page_for_a_current_copy_is_empty(self):
         self.objects.put(DocumentKind.JOB, "other kinds raise the revision", 1)
         revision = self.coordinator.watcher.revision
         self.objects.put(KIND, "s3", "heartbeat")
@@ -246,7 +249,7 @@
         (page,) = self.coordinator.feed.read({str(KIND): revision}, 0.0).pages
         self.assertEqual((page.whole, page.documents, page.removed), (False, [], []))
 
-    def test_next_coordinator_continues_from_the_revision_that_is_known(self):
+    def test_next_coordinator_continues_from_the_known_revision(self):
         node, _ = self.follower()
         successor, _ = self.follower("d")
         self.objects.put(KIND, "s2", "ready")
@@ -260,8 +263,8 @@
         pages = successor.feed.read({str(KIND): revision}, 0.0).pages
         self.assertEqual([(page.whole, page.removed) for page in pages], [(False, ["s1"])])
 
-    def test_server_that_came_and_went_in_a_gap_is_dropped_by_those_who_know_it(self):
-        """Found by the fuzz: the next coordinator listed after a gap and never knew the server."""
+    def test_server_removed_in_a_gap_of_the_history_is_dropped(self):
+        """The next coordinator lists after a gap in its history and never knew the server."""
         revision = self.coordinator.watcher.revision
         self.objects.put(KIND, "s7", "ready")
         known = self.objects.revision
@@ -276,7 +279,7 @@
         (page,) = successor.feed.read({str(KIND): known}, 0.0).pages
         self.assertTrue(page.whole or "s7" in page.removed)
 
-    def test_removals_that_are_no_longer_known_make_the_page_whole(self):
+    def test_unknown_removals_make_the_page_whole(self):
         revision = self.coordinator.watcher.revision
         with unittest.mock.patch.object(document_watcher, "MAXIMUM_REMOVALS", 1):
             for name in ("s5", "s6"):
@@ -289,19 +292,19 @@
 
 
 class LapsedDocumentsTest(unittest.TestCase):
-    """Documents that lapse in an outage of the store and come back, told from copy to copy.
+    """Documents that expire in a store outage and come back, passed on from copy to copy.
 
     A coordinator that kept them through the outage sees no change when they come back; a node that
-    gave them up, as it had asked the store itself, has to hear of it all the same.
+    dropped them, as it had read the store itself, must be notified all the same.
     """
 
     def start(self):
         self.store = MemoryDocumentStore()
         self.network = MemoryNetwork()
         self.store.put(KIND, "s1", "ready")
-        self.coordinator = self.node("c", LONGEST_WAIT_SECONDS)
+        self.coordinator = self.node("c", WAIT_TIMEOUT_SECONDS)
         self.coordinator.since = 0.0
-        self.follower = self.node("n", LAPSE_SECONDS)
+        self.follower = self.node("n", EXPIRY_SECONDS)
         for node in (self.coordinator, self.follower):
             node.watcher._step()
 
@@ -309,38 +312,38 @@
         return _ServerNode(self.network, self.store, name, lapse=lapse)
 
     def lapse(self, *nodes):
-        """Let the document lapse; some nodes see the outage, and then that it is gone."""
+        """Let the document expire; some nodes see the outage, and then that it is gone."""
         self.store.remove(KIND, "s1")
         for node in nodes:
             node.see_outage()
             node.watcher._step()
 
-    def told(self):
-        """Let the follower read the feed once."""
+    def read_feed(self):
+        """Have the follower read the feed once."""
         revision = self.follower.watcher.revision
         self.follower.follower._watchers = {KIND: self.follower.watcher}
         for page in self.coordinator.feed.read({str(KIND): revision}, 0.0).pages:
-            self.follower.follower._take(page)
+            self.follower.follower._apply_page(page)
 
-    def lapse_until_it_is_given_up(self):
+    def expire_until_it_is_dropped(self):
         self.lapse(self.coordinator, self.follower)
-        gevent.sleep(2 * LAPSE_SECONDS)
+        gevent.sleep(2 * EXPIRY_SECONDS)
         self.assertEqual(self.follower.content, {})
 
-    def lapse_until_it_is_about_to_be_given_up(self):
+    def expire_until_it_is_about_to_be_dropped(self):
         self.lapse(self.coordinator, self.follower)
         self.assertEqual(self.follower.content, {"s1": "ready"})
 
-    def lapse_unseen_outage(self):
+    def expire_in_an_unseen_outage(self):
         self.lapse(self.coordinator)
         self.follower.watcher._step()
         self.assertEqual(self.follower.content, {})
 
-    def test_return_is_told_to_a_node_that_did_not_keep_the_document(self):
+    def test_return_is_sent_to_a_node_that_dropped_the_document(self):
         for lapse in (
-            self.lapse_until_it_is_given_up,
-            self.lapse_until_it_is_about_to_be_given_up,
-            self.lapse_unseen_outage,
+            self.expire_until_it_is_dropped,
+            self.expire_until_it_is_about_to_be_dropped,
+            self.expire_in_an_unseen_outage,
         ):
             with self.subTest(lapse.__name__):
                 self.start()
@@ -348,24 +351,24 @@
                 self.assertEqual(self.coordinator.content, {"s1": "ready"})
                 self.store.put(KIND, "s1", "ready")
                 self.coordinator.watcher._step()
-                self.told()
-                gevent.sleep(2 * LAPSE_SECONDS)
+                self.read_feed()
+                gevent.sleep(2 * EXPIRY_SECONDS)
                 self.assertEqual(self.follower.content, {"s1": "ready"})
 
-    def test_return_in_a_list_is_told(self):
+    def test_return_in_a_list_is_sent(self):
         """The coordinator, whose history is lost, lists only after the document is back."""
         self.start()
-        self.lapse_until_it_is_given_up()
+        self.expire_until_it_is_dropped()
         self.store.put(KIND, "s1", "ready")
         self.store.compact()
         self.coordinator.watcher._list_due = True
         self.coordinator.watcher._step()
-        self.told()
+        self.read_feed()
         self.assertEqual(self.follower.content, {"s1": "ready"})
 
 
 class _ServerNode(_Node):
-    """A node that tells, as for servers, only what has changed in its own eyes."""
+    """A node that passes on, as for servers, only changes of its own copy."""
 
     def _changed(self, document, removed):
         states = self.__dict__.setdefault("states", {})
@@ -376,12 +379,12 @@
             self.feed.note(document, removed)
 
     def see_outage(self):
-        """Have this node remember that the store is back just now after an outage."""
+        """Make this node see the end of a store outage now."""
         self.returned_at = steady_seconds()
 
 
-class _OwnAddress:
-    """One node's way to a store: counts its calls, refuses them on demand."""
+class _StoreConnection:
+    """One node's connection to the store: counts calls and refuses them on demand."""
 
     def __init__(self, store):
         self._store = store
--- a/tests/coordination/test_feed_fuzz.py
+++ b/tests/coordination/test_feed_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzing of the feed against an oracle, and proof that it finds the faults it is meant for."""
+"""Fuzzing of the feed against an oracle, and mutants that the fuzzing has to find."""
 
 import os
 import unittest
@@ -30,7 +30,7 @@
 
 
 def take_any_page(self, page, remove):
-    """The mutant of _take_page: pages that are older than the copy are taken too."""
+    """Mutant of _take_page: applies pages that are older than the copy."""
     self.revision = 0
     take_page(self, page, remove)
 
@@ -39,14 +39,14 @@
 
 
 def take_all_changes(self, changes):
-    """The mutant of _take_changes: late answers are applied whole."""
+    """Mutant of _take_changes: applies late answers completely."""
     self.revision = max(self.revision, changes.revision)
     for change in changes.changes:
         self._apply(change.document, change.removed)
 
 
 def page_that_knows_all_removals(self, revision, even_if_empty):
-    """The mutant of page_after: removals in the gap before a list are taken as known."""
+    """Mutant of page_after: assumes that removals in the gap before a list are known."""
     self.watcher.unbroken_since = 1
     return page_after(self, revision, even_if_empty)
 
@@ -55,7 +55,7 @@
 
 
 def page_without_removals(self, revision, even_if_empty):
-    """The mutant of page_after: what is gone is not told."""
+    """Mutant of page_after: omits removals."""
     page = page_after(self, revision, even_if_empty)
     if page is not None:
         page.removed = []
@@ -74,13 +74,13 @@
     def test_older_pages_are_found(self):
         self.check_found(DocumentWatcher, "_take_page", take_any_page)
 
-    def test_late_answers_applied_whole_are_found(self):
+    def test_completely_applied_late_answers_are_found(self):
         self.check_found(DocumentWatcher, "_take_changes", take_all_changes)
 
     def test_unknown_removals_are_found(self):
         self.check_found(_KindFeed, "page_after", page_that_knows_all_removals)
 
-    def test_untold_removals_are_found(self):
+    def test_omitted_removals_are_found(self):
         self.check_found(_KindFeed, "page_after", page_without_removals)
 
 
--- a/tests/coordination/test_lapse_fuzz.py
+++ b/tests/coordination/test_lapse_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzing of lapsed servers against an oracle, and proof that it finds seeded faults."""
+"""Fuzzing of expired servers against an oracle, and mutants that the fuzzing has to find."""
 
 import unittest
 from unittest import mock
@@ -8,27 +8,27 @@
 from runkeel.coordination.copy_comparison import CopyComparison
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.state.lapsed_documents import LapsedDocuments
-from tests.coordination.lapse_machine import LapseMachine
+from tests.coordination.lapse_machine import ExpiryMachine
 from tests.coordination.test_feed_fuzz import EXAMPLES, MUTANT_EXAMPLES, fuzz_settings
 from tests.fuzzing import find_violation
 
 
-class LapseFuzzTest(unittest.TestCase):
+class ExpiryFuzzTest(unittest.TestCase):
     def test_contract_holds(self):
-        run_state_machine_as_test(LapseMachine, settings=fuzz_settings(EXAMPLES))
+        run_state_machine_as_test(ExpiryMachine, settings=fuzz_settings(EXAMPLES))
 
     def check_found(self, target, name, mutant):
         with mock.patch.object(target, name, mutant):
-            violation = find_violation(LapseMachine, fuzz_settings(MUTANT_EXAMPLES))
+            violation = find_violation(ExpiryMachine, fuzz_settings(MUTANT_EXAMPLES))
         self.assertIsNotNone(violation)
 
-    def test_untold_returns_are_found(self):
+    def test_unnotified_returns_are_found(self):
         self.check_found(DocumentWatcher, "on_return", lambda self, listener: None)
 
-    def test_copies_that_are_not_compared_are_found(self):
-        self.check_found(CopyComparison, "note", lambda self, watcher, theirs: None)
+    def test_missing_comparison_of_copies_is_found(self):
+        self.check_found(CopyComparison, "compare", lambda self, watcher, theirs: None)
 
-    def test_servers_that_are_never_given_up_are_found(self):
+    def test_servers_that_are_never_dropped_are_found(self):
         self.check_found(LapsedDocuments, "_expire", lambda self, ends_at: None)
 
 
