--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -54,6 +54,8 @@
 from runkeel.wire.network import PeerNetwork
 
 PING_INTERVAL_SECONDS = 0.5
+"""Ping interval of the ranked nodes after the first."""
+
 FIRST_RANK_PING_INTERVAL_SECONDS = 0.25
 """Ping interval of the first node in rank; shorter, as it replaces the coordinator first."""
 
@@ -142,10 +144,10 @@
         """Run open items while the store is unreachable, in a term that it has yet to confirm."""
 
     def begin_term(self, epoch: int) -> None:
-        """Start to coordinate; a tentative term of this epoch is confirmed by it."""
+        """Start coordinating; this confirms a tentative term of the same epoch."""
 
     def end_term(self) -> None:
-        """Stop to coordinate, or end a tentative term."""
+        """Stop coordinating, or end a tentative term."""
 
 
 class Election:
@@ -312,7 +314,7 @@
         return self._tentative.epoch > 0
 
     def likely_successors(self) -> list[str]:
-        """Return the nodes that hold copies of the open jobs: those that are queried first."""
+        """Return the successors that hold copies of the open jobs, which nodes query first."""
         return [one.node_id for one in self._peers.successors()[:MAX_QUERIED_SUCCESSORS]]
 
     def keepers(self) -> KnownKeepers:
@@ -334,7 +336,7 @@
 
     @property
     def silent_peers(self) -> int:
-        """Number of nodes that have stopped to ping this coordinator recently."""
+        """Number of nodes that have recently stopped pinging this coordinator."""
         return self._peers.count_silent(SILENT_PING_INTERVALS * self._unranked_ping_interval())
 
     def neighbours(self) -> list[str]:
@@ -368,7 +370,7 @@
         return None if found is None else (Address.parse(found.address), found.zone)
 
     def start(self, peer_address: Address, delay_seconds: float = 0.0) -> None:
-        """Start to follow and to ping the coordinator.
+        """Start following and pinging the coordinator.
 
         Args:
             peer_address: address at which peers reach this node.
--- a/src/runkeel/coordination/feed_follower.py
+++ b/src/runkeel/coordination/feed_follower.py
@@ -47,7 +47,7 @@
 """Pause before a retry while the watchers use the store."""
 
 NO_COORDINATOR_POLL_SECONDS = 0.1
-"""Interval of checks while there is no other coordinator."""
+"""Polling interval while there is no other coordinator."""
 
 GRACE_SHARE = 0.65
 """A node that has lost the feed reads the store only when updates would otherwise be late.
@@ -134,7 +134,7 @@
         return self._watchers_suspended
 
     def start(self, watchers: Sequence[DocumentWatcher], delay_seconds: float = 0.0) -> None:
-        """Start to follow the feed.
+        """Start following the feed.
 
         Args:
             watchers: watchers that were created with the events of this follower.
--- a/tests/coordination/feed_machine.py
+++ b/tests/coordination/feed_machine.py
@@ -45,15 +45,15 @@
         self.feed = DocumentFeed(_NoNetwork(), [self.watcher], lambda: 0.0, FOREVER_SECONDS)
         self.states = {}
         self.highest = {}
-        self.gone = set()
+        self.removed_names = set()
 
     def _changed(self, document, removed):
         name = document.name
         if removed:
-            self.gone.add(name)
+            self.removed_names.add(name)
             self.feed.note(document, removed)
             return
-        assert name not in self.gone, f"{name} came back"
+        assert name not in self.removed_names, f"{name} came back"
         assert document.revision >= self.highest.get(name, 0), f"{name} went back"
         self.highest[name] = document.revision
         state = document.content["state"]
@@ -97,7 +97,7 @@
         self.store.compact()
 
     @rule(number=node_numbers, late=strategies.booleans())
-    def ask_store(self, number, late):
+    def read_store(self, number, late):
         """Answer a node's watch, now or later; a lost history makes it list."""
         watcher = self.nodes[number].watcher
         try:
@@ -143,8 +143,8 @@
             for name, state in known.items():
                 held = node.watcher.documents.get(name)
                 if state is None:
-                    assert held is None, f"{name} is gone"
-                elif name not in node.gone:
+                    assert held is None, f"{name} was removed"
+                elif name not in node.removed_names:
                     assert held is not None, f"{name} is missing"
                     assert held.content["state"] >= state, f"{name} is old"
 
--- a/tests/coordination/lapse_machine.py
+++ b/tests/coordination/lapse_machine.py
@@ -58,7 +58,7 @@
     def names(self):
         return set(self.watcher.documents)
 
-    def ask_store(self):
+    def read_store(self):
         try:
             self.watcher._step()
         except HistoryLostError:
@@ -94,7 +94,7 @@
         for number in range(NAMES):
             self.come_back(number, False)
         for node in self.nodes:
-            node.ask_store()
+            node.read_store()
 
     @rule(number=name_numbers, changed=strategies.booleans())
     def come_back(self, number, changed):
@@ -119,14 +119,14 @@
         """Let a server expire and every node read the store; some nodes have seen the outage."""
         self.expire(number)
         for node, after_outage in zip(range(FOLLOWERS + 1), seen, strict=True):
-            self.ask_store(node, after_outage)
+            self.read_store(node, after_outage)
 
     @rule(number=node_numbers, after_outage=strategies.booleans())
-    def ask_store(self, number, after_outage):
+    def read_store(self, number, after_outage):
         """Have a node read the store; it keeps expired servers if it has seen an outage."""
         if after_outage:
             self.nodes[number].returned_at = steady_seconds()
-        self.nodes[number].ask_store()
+        self.nodes[number].read_store()
 
     @rule(number=strategies.integers(0, FOLLOWERS - 1))
     def follow(self, number):
@@ -139,7 +139,7 @@
 
     def teardown(self):
         """Let every node drop the servers that it kept and follow for a while, without changes."""
-        self.coordinator.ask_store()
+        self.coordinator.read_store()
         for node in self.nodes:
             node.drop_expired()
         for follower in self.followers:
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -30,7 +30,7 @@
 class _Node:
     """The feed as a fleet node uses it; the test sets who coordinates."""
 
-    def __init__(self, network, store, name, grace=0.0, lapse=0.0):
+    def __init__(self, network, store, name, grace=0.0, retention=0.0):
         self.name = name
         self.returned_at = 0.0
         self.coordinator = None
@@ -51,7 +51,7 @@
             self._changed,
             watch_seconds=lambda: WATCH_SECONDS,
             needed=self.follower.store_needed,
-            lapse_seconds=lapse,
+            lapse_seconds=retention,
             returned_at=lambda: self.returned_at,
         )
         self.feed = DocumentFeed(
@@ -291,7 +291,7 @@
         self.assertTrue(page.whole)
 
 
-class LapsedDocumentsTest(unittest.TestCase):
+class ExpiredDocumentsTest(unittest.TestCase):
     """Documents that expire in a store outage and come back, passed on from copy to copy.
 
     A coordinator that kept them through the outage sees no change when they come back; a node that
@@ -308,10 +308,10 @@
         for node in (self.coordinator, self.follower):
             node.watcher._step()
 
-    def node(self, name, lapse):
-        return _ServerNode(self.network, self.store, name, lapse=lapse)
+    def node(self, name, retention):
+        return _ServerNode(self.network, self.store, name, retention=retention)
 
-    def lapse(self, *nodes):
+    def expire(self, *nodes):
         """Let the document expire; some nodes see the outage, and then that it is gone."""
         self.store.remove(KIND, "s1")
         for node in nodes:
@@ -326,28 +326,28 @@
             self.follower.follower._apply_page(page)
 
     def expire_until_it_is_dropped(self):
-        self.lapse(self.coordinator, self.follower)
+        self.expire(self.coordinator, self.follower)
         gevent.sleep(2 * EXPIRY_SECONDS)
         self.assertEqual(self.follower.content, {})
 
     def expire_until_it_is_about_to_be_dropped(self):
-        self.lapse(self.coordinator, self.follower)
+        self.expire(self.coordinator, self.follower)
         self.assertEqual(self.follower.content, {"s1": "ready"})
 
     def expire_in_an_unseen_outage(self):
-        self.lapse(self.coordinator)
+        self.expire(self.coordinator)
         self.follower.watcher._step()
         self.assertEqual(self.follower.content, {})
 
     def test_return_is_sent_to_a_node_that_dropped_the_document(self):
-        for lapse in (
+        for expire_document in (
             self.expire_until_it_is_dropped,
             self.expire_until_it_is_about_to_be_dropped,
             self.expire_in_an_unseen_outage,
         ):
-            with self.subTest(lapse.__name__):
+            with self.subTest(expire_document.__name__):
                 self.start()
-                lapse()
+                expire_document()
                 self.assertEqual(self.coordinator.content, {"s1": "ready"})
                 self.store.put(KIND, "s1", "ready")
                 self.coordinator.watcher._step()
--- a/tests/coordination/test_version_rollout.py
+++ b/tests/coordination/test_version_rollout.py
@@ -48,17 +48,17 @@
         return EngineReport(report["sequence"], report["busy"], 0, 0, versions, start)
 
 
-class SlowStore(MemoryDocumentStore):
-    """A store whose writes time out with an unknown outcome while it is away."""
+class UnreachableStore(MemoryDocumentStore):
+    """A store whose writes time out with an unknown outcome while it is unreachable."""
 
-    def __init__(self, away_seconds):
+    def __init__(self, timeout_seconds):
         super().__init__()
-        self.away_seconds = away_seconds
-        self.away = False
+        self.timeout_seconds = timeout_seconds
+        self.unreachable = False
 
     def replace(self, kind, name, content, revision):
-        if self.away:
-            gevent.sleep(self.away_seconds)
+        if self.unreachable:
+            gevent.sleep(self.timeout_seconds)
             raise may_have_run(ErrorCode.STORE_OUTCOME_UNKNOWN, "no answer in time")
         return super().replace(kind, name, content, revision)
 
@@ -73,8 +73,8 @@
         self.busy = False
         self.orders = []
         self.load_seconds = load_seconds
-        self.lose = 0
-        self.late_seconds = 0.0
+        self.answers_to_lose = 0
+        self.late_order_seconds = 0.0
         self.born = ""
         self.server = WSGIServer(("127.0.0.1", 0), self._answer, log=None)
         self.server.start()
@@ -101,9 +101,9 @@
             return [json.dumps(report).encode()]
         order = json.loads(environment["wsgi.input"].read())
         self.orders.append(order)
-        if self.lose:
-            self.lose -= 1
-            gevent.spawn_later(self.late_seconds, self._take, order)
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
+            gevent.spawn_later(self.late_order_seconds, self._take, order)
             gevent.sleep(5.0)
             start_response("500 Lost", [])
             return [b""]
@@ -138,7 +138,7 @@
         self.items = None
         self.pressed = False
         self.reached = []
-        self.store = SlowStore(away_seconds=1.0)
+        self.store = UnreachableStore(timeout_seconds=1.0)
         lease = OrderLease(self.store, "fleet", "node", 3.0)
         self.rollout = VersionRollout(
             self.directory,
@@ -213,16 +213,16 @@
     def test_lost_order_is_settled_by_the_report(self):
         """A lost order may be applied late; it must not be sent a second time."""
         self._start(1)
-        self.engines[0].lose = 1
-        self.engines[0].late_seconds = 0.2
+        self.engines[0].answers_to_lose = 1
+        self.engines[0].late_order_seconds = 0.2
         self._publish(2)
         self._wait_versions(2)
         self.assertEqual(len(self.engines[0].orders), 1)
 
     def test_lost_order_without_effect_is_sent_again(self):
         self._start(1)
-        self.engines[0].lose = 1
-        self.engines[0].late_seconds = 60.0
+        self.engines[0].answers_to_lose = 1
+        self.engines[0].late_order_seconds = 60.0
         self._publish(2)
         self._wait_versions(2)
         orders = self.engines[0].orders
@@ -263,7 +263,7 @@
         engine = self.engines[0]
         engine.restart("1000", 1)
         self._put_restarted(1)
-        engine.lose, engine.late_seconds = 1, 0.6
+        engine.answers_to_lose, engine.late_order_seconds = 1, 0.6
         self._publish(2)
         gevent.sleep(0.2)
         engine.restart("2000", 1)
@@ -309,10 +309,10 @@
         self._start(1)
         self._publish(2)
         self._wait_versions(2)
-        self.store.away = True
+        self.store.unreachable = True
         self._publish(3)
         gevent.sleep(1.2)
-        self.store.away = False
+        self.store.unreachable = False
         back_at = steady_seconds()
         self._wait_versions(3)
         self.assertLess(steady_seconds() - back_at, 3.0)
