--- a/src/runkeel/background_task.py
+++ b/src/runkeel/background_task.py
@@ -1,4 +1,4 @@
-"""A task that goes on until it is stopped."""
+"""A background greenlet that runs until it is stopped."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class BackgroundTask:
-    """Runs a function in a task of its own; may be started anew after a stop.
+    """Runs a function in its own greenlet; can be restarted after a stop.
 
     Args:
-        run: the function; it commonly loops until it is ended.
+        run: the function, usually an endless loop.
     """
 
     def __init__(self, run: Callable[[], None]) -> None:
@@ -19,12 +19,12 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start the task; one that runs already is ended first."""
+        """Start the task, and kill the previous run if there is one."""
         self.stop()
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the task; does not wait for it."""
+        """Kill the task without waiting for its end."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         self._greenlet = None
--- a/src/runkeel/cli.py
+++ b/src/runkeel/cli.py
@@ -1,6 +1,6 @@
-"""The ``runkeel`` command line: asks the nodes of a deployment.
+"""The ``runkeel`` command line, which queries the nodes of a deployment.
 
-Exit codes: 0 success, 1 refused or failed, 2 wrong usage, 3 outcome unknown, 4 node unreachable.
+Exit codes: 0 success, 1 refused or failed, 2 usage error, 3 outcome unknown, 4 node unreachable.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 monkey.patch_all()
 
-import defopt  # noqa: E402  (the standard library must be patched first)
+import defopt  # noqa: E402  (gevent must patch the standard library first)
 
 import runkeel  # noqa: E402
 
@@ -27,16 +27,16 @@
     watch: float = 0.0,
     token_file: Path | None = None,
 ) -> int:
-    """Send one operator's query to a node, or open a prompt.
+    """Send an operator query to a node, or open an interactive prompt.
 
     Examples: ``runkeel ctl 'show node'``,
     ``runkeel ctl 'show backends where zone = "hobart-a"' --node http://10.1.0.10:9464``
 
-    :param command: query; empty opens an interactive prompt.
-    :param node: base URL of any node's operator listener.
-    :param format: table or json.
-    :param watch: repeat a query every so many seconds; 0 asks once.
-    :param token_file: file that holds the operator's token.
+    :param command: query; an empty one opens an interactive prompt.
+    :param node: base URL of a node's operator listener.
+    :param format: output format, table or json.
+    :param watch: interval in seconds at which the query is repeated; 0 runs it once.
+    :param token_file: file that contains the operator token.
     """
     from runkeel.operators.ctl import run_ctl
 
@@ -44,7 +44,7 @@
 
 
 def main() -> None:
-    """Run the command line and exit with its code."""
+    """Run the command line and exit with its exit code."""
     code = defopt.run(
         [ctl],
         version=f"runkeel {runkeel.__version__}",
--- a/src/runkeel/clock.py
+++ b/src/runkeel/clock.py
@@ -1,4 +1,4 @@
-"""The steady clock by which ages, leases and deadlines are told."""
+"""Steady clock for ages, leases and deadlines."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def steady_seconds() -> float:
-    """Return seconds that never go back and go on while the machine is suspended.
+    """Return monotonic time in seconds that includes the time for which the machine is suspended.
 
-    ``time.monotonic`` stands still meanwhile: a lease that lapsed then would look valid after the
-    machine wakes, and orders would be sent under it.
+    ``time.monotonic`` stops during a suspension, so a lease that expired meanwhile would look valid
+    afterwards and orders would be sent under it.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/runkeel/errors.py
+++ b/src/runkeel/errors.py
@@ -15,7 +15,7 @@
     """Whether the request may have been executed by a back end."""
 
     NOT_RUN = 1
-    """Proof exists that no back end executed the request and none will."""
+    """It is proven that no back end executed the request or will execute it."""
     MAY_HAVE_RUN = 2
     """The request may have been executed; its outcome is unknown."""
     RAN = 3
@@ -23,7 +23,7 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """Stable identifiers of errors; never renamed once released."""
+    """Stable error identifiers; a released one is never renamed."""
 
     BAD_REQUEST = "bad_request"
     BAD_DEADLINE = "bad_deadline"
@@ -123,11 +123,11 @@
 
     Attributes:
         code: stable identifier.
-        detail: one sentence for people; never parsed.
-        verdict: whether the request may have run. ``MAY_HAVE_RUN`` unless the
-            raiser holds proof of something stronger.
-        retry_after_seconds: when the client should come back, if known.
-        request_id: id of the request that failed, if it has one.
+        detail: human-readable sentence, not meant for parsing.
+        verdict: whether the request may have been executed. ``MAY_HAVE_RUN`` unless the raiser
+            can prove otherwise.
+        retry_after_seconds: seconds after which the client should retry, if known.
+        request_id: id of the failed request, if it has one.
     """
 
     code: ErrorCode
@@ -141,14 +141,14 @@
 
     @property
     def http_status(self) -> int:
-        """HTTP status code that renders this error."""
+        """HTTP status code of a response that reports this error."""
         return _HTTP_STATUS.get(self.code, _DEFAULT_HTTP_STATUS)
 
 
 def not_run(
     code: ErrorCode, detail: str = "", retry_after_seconds: float | None = None
 ) -> RunkeelError:
-    """Build an error whose raiser can prove that the request did not run."""
+    """Build an error for a request that was provably not executed."""
     return RunkeelError(code, detail, Verdict.NOT_RUN, retry_after_seconds)
 
 
