--- a/src/runkeel/decision_log.py
+++ b/src/runkeel/decision_log.py
@@ -1,8 +1,8 @@
-"""Structured lines to standard output: one for each decision and each change of belief.
+"""Structured log on standard output, one JSON object per line.
 
-Lines are JSON objects with ``time``, ``node``, ``zone``, ``level``, ``code``, ``message`` and the
-fields of the decision. They are bounded by a budget of bytes a second, never block, and what is
-left out is counted; warnings and errors may use a reserve that other lines may not.
+Each line has ``time``, ``node``, ``zone``, ``level``, ``code``, ``message`` and the fields of its
+event. Writing never blocks. The output is rate-limited in bytes per second; dropped lines are
+counted. Part of the burst is reserved for warnings and errors.
 """
 
 from __future__ import annotations
@@ -21,12 +21,18 @@
 BYTES_PER_SECOND = 60_000.0
 BURST_BYTES = 240_000.0
 WARNING_RESERVE_BYTES = 60_000.0
-COMMON_LINE_BYTES = 300
-_WARNING_LEVEL = 30
+TYPICAL_LINE_BYTES = 300
+_WARNING_LEVEL_NUMBER = 30
 
 
-class LineBudget:
-    """A token bucket of bytes."""
+class ByteTokenBucket:
+    """Token bucket that limits the bytes written.
+
+    Args:
+        rate: bytes per second.
+        burst: maximum number of bytes available at once.
+        reserve: bytes of the burst that only important lines may use.
+    """
 
     def __init__(self, rate: float, burst: float, reserve: float) -> None:
         self._rate = rate
@@ -36,12 +42,12 @@
         self._updated = steady_seconds()
 
     def has_room(self, important: bool) -> bool:
-        """Return whether a line of common size would be taken; asked before it is built."""
+        """Return whether a line of typical size fits; checked before a line is serialized."""
         self._refill()
-        return self._available - COMMON_LINE_BYTES >= (0.0 if important else self._reserve)
+        return self._available - TYPICAL_LINE_BYTES >= (0.0 if important else self._reserve)
 
-    def take(self, size: int, important: bool) -> bool:
-        """Take bytes for a line; False when the line has to be left out."""
+    def try_consume(self, size: int, important: bool) -> bool:
+        """Consume the bytes of a line; return False if the line must be dropped."""
         self._refill()
         floor = 0.0 if important else self._reserve
         if self._available - size < floor:
@@ -57,53 +63,53 @@
 
 
 class LineWriter:
-    """Writes lines to a descriptor without ever waiting for its reader."""
+    """Writes lines to a file descriptor without blocking on its reader."""
 
-    def __init__(self, descriptor: int, budget: LineBudget) -> None:
+    def __init__(self, descriptor: int, bucket: ByteTokenBucket) -> None:
         self._descriptor = descriptor
-        self._budget = budget
-        self._rest = b""
+        self._bucket = bucket
+        self._unwritten = b""
         self._dropped = 0
         with contextlib.suppress(OSError):
             os.set_blocking(descriptor, False)
 
     def write(self, line: dict[str, Any], important: bool) -> None:
-        """Write a line, or count it as left out."""
-        if not self._flush_rest() or not self._budget.has_room(important):
-            self._drop()
+        """Write a line, or drop and count it."""
+        if not self._flush_unwritten() or not self._bucket.has_room(important):
+            self._count_dropped_line()
             return
         if self._dropped:
             line["dropped_before"] = self._dropped
         data = json.dumps(line, default=str).encode() + b"\n"
-        if not self._budget.take(len(data), important):
-            self._drop()
+        if not self._bucket.try_consume(len(data), important):
+            self._count_dropped_line()
             return
         self._dropped = 0
-        self._rest = data
-        self._flush_rest()
+        self._unwritten = data
+        self._flush_unwritten()
 
-    def _drop(self) -> None:
+    def _count_dropped_line(self) -> None:
         self._dropped += 1
         LOG_LINES_DROPPED.inc()
 
-    def _flush_rest(self) -> bool:
-        """Write what is left of the last line; False while the reader does not take it."""
-        while self._rest:
+    def _flush_unwritten(self) -> bool:
+        """Write the rest of the last line; return False while the descriptor is not writable."""
+        while self._unwritten:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
-                self._rest = b""
+                self._unwritten = b""
                 return True
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
 
 
 def configure_decision_log(node_id: str, zone: str, descriptor: int | None = None) -> None:
-    """Send all log lines as JSON to a descriptor, by default standard output."""
-    budget = LineBudget(BYTES_PER_SECOND, BURST_BYTES, WARNING_RESERVE_BYTES)
-    writer = LineWriter(sys.stdout.fileno() if descriptor is None else descriptor, budget)
+    """Write all log lines as JSON to a file descriptor, standard output by default."""
+    bucket = ByteTokenBucket(BYTES_PER_SECOND, BURST_BYTES, WARNING_RESERVE_BYTES)
+    writer = LineWriter(sys.stdout.fileno() if descriptor is None else descriptor, bucket)
 
     def sink(message: Any) -> None:
         record = message.record
@@ -118,14 +124,14 @@
         line.update(record["extra"])
         if record["exception"] is not None:
             line["exception"] = repr(record["exception"].value)
-            line["trace"] = _trace(record["exception"].traceback)
-        writer.write(line, record["level"].no >= _WARNING_LEVEL)
+            line["trace"] = _last_frames(record["exception"].traceback)
+        writer.write(line, record["level"].no >= _WARNING_LEVEL_NUMBER)
 
     logger.remove()
     logger.add(sink, level="INFO", format="{message}")
 
 
-def _trace(traceback: Any) -> list[str]:
+def _last_frames(traceback: Any) -> list[str]:
     """Return the last frames of a traceback."""
     frames = []
     while traceback is not None:
--- a/tests/base/test_decision_log.py
+++ b/tests/base/test_decision_log.py
@@ -1,13 +1,13 @@
-"""The decision log is bounded and never waits for its reader."""
+"""The decision log is rate-limited and never blocks on its reader."""
 
 import json
 import os
 import unittest
 
 from runkeel.clock import steady_seconds
-from runkeel.decision_log import LineBudget, LineWriter
+from runkeel.decision_log import ByteTokenBucket, LineWriter
 
-MANY = 5_000
+LINE_COUNT = 5_000
 
 
 class DecisionLogTest(unittest.TestCase):
@@ -17,7 +17,7 @@
         self.addCleanup(os.close, self.write_end)
 
     def _writer(self, rate=1e9, burst=1e9, reserve=0.0):
-        return LineWriter(self.write_end, LineBudget(rate, burst, reserve))
+        return LineWriter(self.write_end, ByteTokenBucket(rate, burst, reserve))
 
     def _lines(self):
         os.set_blocking(self.read_end, False)
@@ -27,32 +27,32 @@
         self._writer().write({"code": "start", "n": 1}, important=False)
         self.assertEqual(self._lines(), [{"code": "start", "n": 1}])
 
-    def test_reader_that_does_not_read_holds_nothing_up(self):
+    def test_slow_reader_does_not_block_writer(self):
         writer = self._writer()
         started = steady_seconds()
-        for number in range(MANY):
+        for number in range(LINE_COUNT):
             writer.write({"code": "x" * 100, "n": number}, important=False)
         self.assertLess(steady_seconds() - started, 5.0)
 
-    def test_lines_left_out_are_counted(self):
+    def test_dropped_lines_are_counted(self):
         writer = self._writer()
-        for number in range(MANY):
+        for number in range(LINE_COUNT):
             writer.write({"code": "x" * 100, "n": number}, important=False)
-        read = len(os.read(self.read_end, 1 << 20).splitlines())
+        received = len(os.read(self.read_end, 1 << 20).splitlines())
         writer.write({"code": "after"}, important=False)
         writer.write({"code": "after"}, important=False)
-        told = sum(line.get("dropped_before", 0) for line in self._lines()[-2:])
-        self.assertGreater(told, MANY - read - 5)
+        dropped = sum(line.get("dropped_before", 0) for line in self._lines()[-2:])
+        self.assertGreater(dropped, LINE_COUNT - received - 5)
 
-    def test_budget_bounds_the_bytes(self):
+    def test_output_is_limited_to_the_burst(self):
         writer = self._writer(rate=0.0, burst=5_000.0)
-        for number in range(MANY):
+        for number in range(LINE_COUNT):
             writer.write({"code": "x" * 100, "n": number}, important=False)
         self.assertLess(len(os.read(self.read_end, 1 << 20)), 5_000)
 
-    def test_warnings_have_a_reserve(self):
+    def test_warnings_may_use_the_reserve(self):
         writer = self._writer(rate=0.0, burst=5_000.0, reserve=2_000.0)
-        for number in range(MANY):
+        for number in range(LINE_COUNT):
             writer.write({"code": "x" * 100, "n": number}, important=False)
         self._lines()
         writer.write({"code": "warning"}, important=True)
