--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Run the tests named as arguments (dotted names), or all."""
+    """Run the tests given as arguments (dotted names), or all tests."""
     try:
         entries = known_red.read()
     except known_red.KnownRedError as error:
@@ -23,9 +23,9 @@
         suite = loader.loadTestsFromNames(sys.argv[1:])
     else:
         suite = loader.discover(str(TESTS_FOLDER), top_level_dir=str(TESTS_FOLDER.parent))
-    ran = known_red.test_ids(suite)
+    selected = known_red.test_ids(suite)
     result = unittest.TextTestRunner(verbosity=1).run(suite)
-    outcome = known_red.judge(result, ran, entries, whole=len(sys.argv) == 1)
+    outcome = known_red.evaluate(result, selected, entries, full_run=len(sys.argv) == 1)
     for line in outcome.lines:
         print(line)
     summary = f"{outcome.passed} passed, {outcome.failed} failed"
--- a/tests/base/test_known_red.py
+++ b/tests/base/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests listed in KNOWN-RED.txt are run, printed and passed over; nothing else is."""
+"""Only failures of tests listed in KNOWN-RED.txt are printed without failing the run."""
 
 import unittest
 
@@ -9,12 +9,12 @@
 
 
 def _run(*names):
-    """Run some of the sample tests; returns the result and the ids of those that were run."""
+    """Run some of the sample tests; return the result and the ids of the selected tests."""
     suite = unittest.TestSuite(Samples(name) for name in names)
-    ran = known_red.test_ids(suite)
+    selected = known_red.test_ids(suite)
     result = unittest.TestResult()
     suite.run(result)
-    return result, ran
+    return result, selected
 
 
 def _entry(name):
@@ -22,9 +22,9 @@
 
 
 class KnownRedTest(unittest.TestCase):
-    def judge(self, names, listed=(), whole=True):
-        result, ran = _run(*names)
-        return known_red.judge(result, ran, [_entry(name) for name in listed], whole)
+    def evaluate(self, names, listed=(), full_run=True):
+        result, selected = _run(*names)
+        return known_red.evaluate(result, selected, [_entry(name) for name in listed], full_run)
 
     def check(self, outcome, passed, failed, *words):
         self.assertEqual((outcome.passed, outcome.failed), (passed, failed), outcome)
@@ -32,28 +32,28 @@
         for line, word in zip(outcome.lines, words, strict=True):
             self.assertIn(word, line)
 
-    def test_failure_that_is_not_listed_counts(self):
-        self.check(self.judge(["passes", "fails"]), 1, 1)
+    def test_unlisted_failure_counts(self):
+        self.check(self.evaluate(["passes", "fails"]), 1, 1)
 
     def test_listed_failure_is_printed_and_passed_over(self):
-        for name in ("fails", "errs", "fails_in_a_part"):
+        for name in ("fails", "errs", "fails_in_subtest"):
             with self.subTest(name):
-                self.check(self.judge(["passes", name], [name]), 1, 0, "passed over")
+                self.check(self.evaluate(["passes", name], [name]), 1, 0, "passed over")
 
-    def test_other_failures_count_beside_a_listed_one(self):
-        self.check(self.judge(["passes", "fails", "errs"], ["fails"]), 1, 1, "passed over")
+    def test_unlisted_failure_counts_besides_a_listed_one(self):
+        self.check(self.evaluate(["passes", "fails", "errs"], ["fails"]), 1, 1, "passed over")
 
     def test_listed_test_that_passes_fails(self):
-        self.check(self.judge(["passes"], ["passes"]), 0, 1, "it passes")
+        self.check(self.evaluate(["passes"], ["passes"]), 0, 1, "it passes")
 
     def test_listed_test_that_is_skipped_or_missing_fails(self):
-        self.check(self.judge(["passes", "skips"], ["skips"]), 1, 1, "not run")
-        self.check(self.judge(["passes"], ["fails"]), 1, 1, "not run")
+        self.check(self.evaluate(["passes", "skips"], ["skips"]), 1, 1, "not run")
+        self.check(self.evaluate(["passes"], ["fails"]), 1, 1, "not run")
 
-    def test_listed_test_may_be_missing_where_some_tests_are_run_only(self):
-        self.check(self.judge(["passes"], ["fails"], whole=False), 1, 0)
+    def test_listed_test_may_be_missing_from_a_partial_run(self):
+        self.check(self.evaluate(["passes"], ["fails"], full_run=False), 1, 0)
 
-    def test_line_tells_test_command_sight_cause_and_issue(self):
+    def test_entry_fields_are_parsed(self):
         (entry,) = known_red.parse(f"# {LINE}\n\n{LINE}\n")
         self.assertEqual(
             entry,
@@ -66,7 +66,7 @@
             ),
         )
 
-    def test_list_that_can_not_be_used_is_refused(self):
+    def test_invalid_list_is_rejected(self):
         many = "\n".join(LINE.replace("test_b", f"test_{number}") for number in range(4))
         for text in (
             "tests.a.T.test_b",
@@ -79,7 +79,7 @@
 
 
 class Samples(unittest.TestCase):
-    """Tests with every outcome; none is found by discovery, as their names don't begin so."""
+    """Tests with each kind of outcome, named so that discovery does not find them."""
 
     def passes(self):
         pass
@@ -90,7 +90,7 @@
     def errs(self):
         raise ValueError("as it should")
 
-    def fails_in_a_part(self):
+    def fails_in_subtest(self):
         with self.subTest("part"):
             self.fail("as it should")
 
--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -1,8 +1,7 @@
 """Checks that a fuzzer finds a seeded fault, whatever other modules are loaded.
 
-Hypothesis draws some values from constants of the project's loaded modules, so the examples of a
-derandomized run depend on which tests run beside it. A single run may therefore miss a fault that
-it found yesterday. The check tries several seeds, in a fixed order.
+Hypothesis draws some values from constants of loaded project modules, so the examples of one seed
+depend on which other tests are loaded. Several seeds are tried in a fixed order.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 def find_violation(
     machine_class: type[RuleBasedStateMachine], options: settings
 ) -> BaseException | None:
-    """Run with one seed after another; return the first violated assertion, or None."""
+    """Run with successive seeds; return the first assertion violation, or None."""
     for number in range(SEEDS):
         seeded = seed(number)(type(machine_class.__name__, (machine_class,), {}))
         try:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a real fault which is not mended yet, as KNOWN-RED.txt lists them.
+"""Known test failures, as listed in KNOWN-RED.txt.
 
-A listed test is run like any other, and its outcome is printed; its failure doesn't fail the run. A
-listed test that passes, or that was not run at all, does: the list tells what is broken now.
+A listed test is run like any other and its outcome is printed, but its failure does not fail the
+run. A listed test that passes or is not run does fail it, which keeps the list up to date.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
-MAXIMUM_ENTRIES = 3
-"""So many faults may be open at once; what is beyond that has to be mended first."""
+MAX_ENTRIES = 3
+"""Maximum number of listed tests; further failures have to be fixed first."""
 
 _SEPARATOR = "|"
 _COMMENT = "#"
@@ -22,37 +22,37 @@
 
 
 class KnownRedError(Exception):
-    """KNOWN-RED.txt can't be used as it stands."""
+    """KNOWN-RED.txt is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One line of the list.
+    """An entry of the list.
 
     Attributes:
-        test: dotted name, as the test runner takes it.
-        command: how to see the fault, with its seed.
-        seen: what was seen.
-        cause: what is known or suspected.
-        issue: the open issue that tracks it.
+        test: dotted name, as the test runner accepts it.
+        command: command that reproduces the failure, with its seed.
+        symptom: what was observed.
+        cause: known or suspected cause.
+        issue: open issue that tracks the failure.
     """
 
     test: str
     command: str
-    seen: str
+    symptom: str
     cause: str
     issue: str
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """A run's outcome after the list was looked at.
+    """Outcome of a run after applying the list.
 
     Attributes:
-        passed: tests that passed and are not listed.
-        failed: failures that count.
-        skipped: tests that were not run.
-        lines: what is printed of the listed tests.
+        passed: number of unlisted tests that passed.
+        failed: number of failures that fail the run.
+        skipped: number of skipped tests.
+        lines: lines to print about the listed tests.
     """
 
     passed: int
@@ -62,35 +62,39 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Read the list. Raises KnownRedError for a line that lacks a field, and for too many."""
+    """Parse the list.
+
+    Raises:
+        KnownRedError: a field is missing, a test is listed twice, or there are too many entries.
+    """
     entries = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith(_COMMENT):
             continue
-        fields = [one.strip() for one in line.split(_SEPARATOR)]
+        fields = [part.strip() for part in line.split(_SEPARATOR)]
         if len(fields) != len(_FIELDS) or not all(fields):
-            raise KnownRedError(f"line {number} needs: {' | '.join(_FIELDS)}")
+            raise KnownRedError(f"line {number} must have the fields {' | '.join(_FIELDS)}")
         entries.append(KnownRed(*fields))
-    if len(entries) > MAXIMUM_ENTRIES:
-        raise KnownRedError(f"{len(entries)} entries, {MAXIMUM_ENTRIES} at most")
+    if len(entries) > MAX_ENTRIES:
+        raise KnownRedError(f"too many entries: {len(entries)}, at most {MAX_ENTRIES}")
     if len({entry.test for entry in entries}) < len(entries):
-        raise KnownRedError("a test is listed twice")
+        raise KnownRedError("duplicate test")
     return entries
 
 
 def read(path: Path = KNOWN_RED_FILE) -> list[KnownRed]:
-    """Read the list's file; one that isn't there is empty."""
+    """Parse the list file; a missing file means an empty list."""
     return parse(path.read_text()) if path.exists() else []
 
 
-def judge(
-    result: unittest.TestResult, ran: set[str], entries: Sequence[KnownRed], whole: bool
+def evaluate(
+    result: unittest.TestResult, selected: set[str], entries: Sequence[KnownRed], full_run: bool
 ) -> Outcome:
-    """Count a run's outcome with the listed tests passed over.
+    """Evaluate a run, ignoring failures of listed tests.
 
     Args:
-        ran: ids of the tests that were to be run.
-        whole: whether all tests were to be run, so that a listed one that is missing is an error.
+        selected: ids of the tests selected for the run.
+        full_run: whether all tests were selected, so that a missing listed test is an error.
     """
     failures = [(_test_id(test), "failed") for test, _ in result.failures]
     failures += [(_test_id(test), "ended with an error") for test, _ in result.errors]
@@ -102,16 +106,18 @@
     lines = []
     for test, entry in listed.items():
         if test in failed_ids:
-            how = next(how for failed, how in failures if failed == test)
-            lines.append(f"known red, passed over: {test}: {how}; {entry.seen} ({entry.issue})")
-        elif test in skipped or (test not in ran and whole):
+            problem = next(problem for failed, problem in failures if failed == test)
+            lines.append(
+                f"known red, passed over: {test}: {problem}; {entry.symptom} ({entry.issue})"
+            )
+        elif test in skipped or (test not in selected and full_run):
             counted += 1
             lines.append(f"known red, but not run: {test}")
-        elif test in ran:
+        elif test in selected:
             counted += 1
             lines.append(f"known red, but it passes: {test}; take it off KNOWN-RED.txt")
     not_passed = failed_ids | skipped | set(listed)
-    passed = result.testsRun - len(ran & not_passed)
+    passed = result.testsRun - len(selected & not_passed)
     return Outcome(passed, counted, len(skipped), lines)
 
 
@@ -124,5 +130,5 @@
 
 
 def _test_id(test: unittest.TestCase) -> str:
-    """Return a test's id; that of the whole test for a part of one."""
+    """Return the id of a test, or of the enclosing test if it is a subtest."""
     return getattr(test, "test_case", test).id()
--- a/tests/suspension.py
+++ b/tests/suspension.py
@@ -1,4 +1,4 @@
-"""Suspends the machine, as far as a process can tell: all clocks but the steady one jump."""
+"""Simulates a suspension of the machine by shifting the clocks that a process reads."""
 
 import contextlib
 import time
@@ -7,15 +7,15 @@
 
 @contextlib.contextmanager
 def suspended_for(seconds):
-    """Let the code inside run on a machine that has just woken from a suspension."""
+    """Run the block as if the machine had just resumed from a suspension of some seconds."""
     clock_gettime, wall = time.clock_gettime, time.time
 
-    def jumped(clock_id):
-        late = seconds if clock_id in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME) else 0.0
-        return clock_gettime(clock_id) + late
+    def shifted_clock_gettime(clock_id):
+        offset = seconds if clock_id in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME) else 0.0
+        return clock_gettime(clock_id) + offset
 
     with (
-        mock.patch("time.clock_gettime", jumped),
+        mock.patch("time.clock_gettime", shifted_clock_gettime),
         mock.patch("time.time", lambda: wall() + seconds),
     ):
         yield
