--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -257,7 +257,7 @@
             self._output_copies,
             lambda: self._term.scheduler if self._term is not None else None,
         )
-        self._election.on_coordinator(self._offer_partial_outputs)
+        self._election.on_coordinator(self._on_coordinator_changed)
         self._term: CoordinatorTerm | None = None
         self.deferrable_calls = DeferrableCalls(self.directory)
         scorer = Scorer(self.forwarder, self.routing, protocol, self.deferrable_calls)
@@ -428,14 +428,14 @@
             self._feed.note(document, removed)
             return
         backend = self._translator.backend(document)
-        before = self._known_backend(document.name)
+        previous = self._known_backend(document.name)
         if not self.directory.put(backend, document.revision):
             return
-        present = self._known_backend(document.name)
-        if before is None or before.incarnation != present.incarnation:
-            self._quarantine.backend_joined(present)
+        current = self._known_backend(document.name)
+        if previous is None or previous.incarnation != current.incarnation:
+            self._quarantine.backend_joined(current)
         # Weight versions change often and only the coordinator uses them, so the feed omits them.
-        if before is None or not before.same_to_clients(present):
+        if previous is None or not previous.same_to_clients(current):
             self._feed.note(document, removed)
 
     def _known_backend(self, backend_id: str) -> Backend | None:
@@ -443,7 +443,7 @@
         return state.backend if state is not None else None
 
     def _on_backend_unreadable(self, document: Document, reason: str) -> None:
-        """Stop sending requests to the server and notify the nodes that follow this one."""
+        """Send no new requests to the server, and notify the nodes that follow this one."""
         self.directory.note_unreadable(document.name, reason)
         self._feed.note(document, removed=False)
 
@@ -462,8 +462,11 @@
         if self._term is not None:
             self._term.jobs.handed_over(job_id, encoded)
 
-    def _offer_partial_outputs(self) -> None:
-        """Offer copies of partial outputs to a new coordinator, whose predecessors may be lost."""
+    def _on_coordinator_changed(self) -> None:
+        """End runs of earlier coordinators and offer partial outputs to the new one.
+
+        Earlier coordinators may have lost their copies of the partial outputs.
+        """
         coordinator = self._election.other_coordinator
         if coordinator is not None:
             self._runner.end_earlier(coordinator.epoch)
