--- a/src/runkeel/runners/__init__.py
+++ b/src/runkeel/runners/__init__.py
@@ -1,11 +1,12 @@
-"""Running the items of a large fleet on many nodes: the coordinator places, runners read.
+"""Distributes the reading of generation streams over the nodes of a large fleet.
 
-One process can read the events of a few hundred generations. Where the engines make more, the
-coordinator has other nodes of the engines' zones run the items that it has placed:
+One process can read the event streams of a few hundred generations. Where the engines have more
+slots, the coordinator still assigns items to engines, but delegates reading their streams to other
+nodes, called runners, preferably in the engine's zone:
 
-- :mod:`runkeel.runners.pool`: the coordinator's side, which node runs what;
-- :mod:`runkeel.runners.remote_run`: one run at another node, as the scheduler sees it;
-- :mod:`runkeel.runners.service`: a runner's side, accepts runs and tells their progress;
-- :mod:`runkeel.runners.hosted_run`: one run at the node that reads it;
-- :mod:`runkeel.runners.lease`: how long a runner may go on without the coordinator.
+- :mod:`runkeel.runners.pool`: the coordinator's side, assigns runs to runners;
+- :mod:`runkeel.runners.remote_run`: a run at another node, as the scheduler sees it;
+- :mod:`runkeel.runners.service`: the runner's side, accepts runs and reports their progress;
+- :mod:`runkeel.runners.hosted_run`: a run at the node that reads its stream;
+- :mod:`runkeel.runners.lease`: timeouts of the lease between runner and coordinator.
 """
--- a/src/runkeel/runners/hosted_run.py
+++ b/src/runkeel/runners/hosted_run.py
@@ -1,4 +1,4 @@
-"""One run of an item at the node that reads it."""
+"""A run of an item at the node that reads its generation stream."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from runkeel.wire.generated.jobs.ttypes import ItemRunStart, ItemRunUpdate
 
 SCORING_FAILED = "scoring_failed"
-"""Outcome of a run whose text is whole and could not be scored."""
+"""Outcome of a run whose output is complete but could not be scored."""
 
 
 class HostedRun:
-    """Runs a generation, has its text scored, and remembers what the coordinator knows of it.
+    """Runs a generation, has its output scored, and tracks what was reported to the coordinator.
 
     Args:
-        loading: tells whether the engine is loading a version, so that a pause is expected.
+        loading: returns whether the engine is loading a version, so that a pause is expected.
         on_ended: called once the outcome is known.
     """
 
@@ -41,58 +41,60 @@
         self._scorer = scorer
         self._on_ended = on_ended
         self._deadline = steady_seconds() + message.remaining_ms / 1000.0
-        self._text = PartialText([], message.resume_after or None, list(message.versions))
+        self._output = PartialText([], message.resume_after or None, list(message.versions))
         request = _request(message)
-        self._watched = quarantine.watch(
+        self._quarantine_watch = quarantine.watch(
             lambda: quarantine.fingerprints.of_generation(request),
             state.backend.service,
             request.request_id,
         )
-        self._watched.on_trial = bool(message.on_trial)
+        self._quarantine_watch.on_trial = bool(message.on_trial)
         self._run = GenerationRun(
             protocol,
             state,
             request,
-            self._watched,
-            self._text,
+            self._quarantine_watch,
+            self._output,
             message.minimum_version,
             message.single_version,
             loading,
         )
-        self._told_pieces = 0
-        self._told_whole = False
+        self._reported_pieces = 0
+        self._reported_whole = False
         self._outcome = ""
         self._detail = ""
         self._score = ""
         self._task: gevent.Greenlet | None = None
 
     @property
-    def held(self) -> bool:
-        """Whether engines ended under the item, and this run is no trial."""
-        return self._watched.held and not self._watched.on_trial
+    def blocked_by_quarantine(self) -> bool:
+        """Whether the item is quarantined, having ended engines, and this run is no trial."""
+        return self._quarantine_watch.held and not self._quarantine_watch.on_trial
 
     @property
-    def kept_text(self) -> PartialText | None:
-        """The item's text as far as it is known here; None if the run began in the midst of it."""
-        return self._text if not self._message.resume_after and self._text.pieces else None
+    def output_from_start(self) -> PartialText | None:
+        """The output from its first piece on; None if empty, or if this run resumed another."""
+        return self._output if not self._message.resume_after and self._output.pieces else None
 
     @property
     def item_id(self) -> str:
-        """The item that it runs."""
         return self._message.request_id
 
     @property
-    def has_news(self) -> bool:
-        """Whether the coordinator lacks anything of this run."""
-        told = self._told_pieces == len(self._text.pieces) and self._told_whole == self._text.whole
-        return bool(self._outcome) or not told
+    def has_update(self) -> bool:
+        """Whether there is anything that was not reported to the coordinator yet."""
+        all_reported = (
+            self._reported_pieces == len(self._output.pieces)
+            and self._reported_whole == self._output.whole
+        )
+        return bool(self._outcome) or not all_reported
 
     def start(self) -> None:
-        """Start to run, in a task of its own."""
+        """Start the run in a greenlet."""
         self._task = gevent.spawn(self._run_to_end)
 
     def end(self) -> None:
-        """End the run, whatever it is about; its outcome is told like any other."""
+        """Abort the run with outcome MOVED, which is reported like any other outcome."""
         if self._outcome:
             return
         if self._task is not None:
@@ -100,24 +102,24 @@
         self._finish(RunOutcome.MOVED.value)
 
     def update(self) -> ItemRunUpdate:
-        """Return what the coordinator lacks."""
-        text = self._text
+        """Return an update with everything that was not reported yet."""
+        output = self._output
         return ItemRunUpdate(
             self._message.run_id,
-            self._told_pieces,
-            list(text.pieces[self._told_pieces :]),
-            text.last_event_id or "",
-            list(text.versions),
-            text.whole,
+            self._reported_pieces,
+            list(output.pieces[self._reported_pieces :]),
+            output.last_event_id or "",
+            list(output.versions),
+            output.whole,
             self._outcome,
             self._detail,
             self._score,
         )
 
-    def note_told(self, update: ItemRunUpdate) -> bool:
-        """Take note that an update has arrived; True when nothing can follow it."""
-        self._told_pieces = update.first_piece + len(update.pieces)
-        self._told_whole = update.whole
+    def mark_reported(self, update: ItemRunUpdate) -> bool:
+        """Record that the coordinator has received an update; returns whether it was the last."""
+        self._reported_pieces = update.first_piece + len(update.pieces)
+        self._reported_whole = update.whole
         return bool(update.outcome)
 
     def _run_to_end(self) -> None:
@@ -137,7 +139,7 @@
                 self._finish(SCORING_FAILED)
                 return
             except ScoringUnfinishedError as error:
-                # The coordinator has it scored, or gives it up once its time is over.
+                # The coordinator retries the scoring, or gives the item up at its deadline.
                 self._detail = str(error)
         self._finish(outcome.value)
 
--- a/src/runkeel/runners/lease.py
+++ b/src/runkeel/runners/lease.py
@@ -1,45 +1,43 @@
-"""How long a runner goes on without hearing from its coordinator, and when it is given up.
+"""Timeouts and limits of the lease between a runner and its coordinator.
 
-The runner ends its runs when no answer of the coordinator to a progress message has come for
-:data:`RUN_LEASE_SECONDS`, counted from when that message was sent. The coordinator lets an item go
-on elsewhere only after :data:`LOST_SECONDS` without a message, counted from when the last one came:
-that is later, so that no item is ever at two engines.
+A runner ends its runs when :data:`RUN_LEASE_SECONDS` have passed since it sent the last progress
+message that the coordinator replied to. The coordinator restarts an item elsewhere only when
+:data:`LOST_SECONDS` have passed since it received the runner's last message. That is always later,
+so that no item ever runs at two engines.
 """
 
 from __future__ import annotations
 
-PROGRESS_SECONDS = 0.15
-"""A runner tells what has come of its runs so often, while there is anything to tell."""
+PROGRESS_INTERVAL_SECONDS = 0.15
+"""Interval between progress messages while the runner has runs or unsent updates."""
 
 HEARTBEAT_SECONDS = 0.4
-"""It sends progress so often at least."""
+"""Interval between progress messages of an idle runner."""
 
-PROGRESS_CALL_SECONDS = 0.6
-"""A progress message that is not answered in this time is sent again."""
+PROGRESS_TIMEOUT_SECONDS = 0.6
+"""Timeout of a progress message; its updates are sent again in the next one."""
 
 RUN_LEASE_SECONDS = 1.6
-"""Two messages may be lost, one after the other."""
+"""Duration of a runner's lease; long enough for two lost messages in succession."""
 
-DISENGAGED_SECONDS = 15.0
-"""A node that has had no answer for so long waits for another invitation."""
+COORDINATOR_SILENCE_SECONDS = 15.0
+"""A runner without a reply for this long ends its assignment and waits for a new invitation."""
 
-LOST_MARGIN_SECONDS = 0.5
-"""For the time that a runner needs to notice the end of its lease and to reset connections."""
+LEASE_MARGIN_SECONDS = 0.5
+"""Time for a runner to notice that its lease has expired and to reset its connections."""
 
-LOST_SECONDS = RUN_LEASE_SECONDS + LOST_MARGIN_SECONDS
+LOST_SECONDS = RUN_LEASE_SECONDS + LEASE_MARGIN_SECONDS
+"""A runner that has been silent for this long is lost: its lease has certainly expired."""
 
-RUNS_PER_RUNNER = 64
-"""Runs at one node at once: 64 at 20 ms an event are 3,200 events a second, 0.2 of a core."""
+MAX_RUNS_PER_RUNNER = 64
+"""Maximum number of concurrent runs at a runner."""
 
 LOCAL_RUNS = 220
-"""So many runs the coordinator reads itself; where fewer items are open it needs no runners.
+"""Maximum number of concurrent runs at the coordinator itself; up to this many open items it needs
+no runners."""
 
-220 at 20 ms an event are 11,000 events a second, 0.65 of a core at 60 us an event; the machines
-that coordinate have 1.3.
-"""
-
-DEMAND_SECONDS = 20.0
-"""Runners are kept for so long after more items were open than the coordinator reads itself."""
+DEMAND_RETENTION_SECONDS = 20.0
+"""Runners are kept for this long after the open items last exceeded :data:`LOCAL_RUNS`."""
 
-LATE_MILLISECONDS = 150
-"""A runner whose timers are so late gets no further run until it has caught up."""
+MAX_LOOP_LAG_MILLISECONDS = 150
+"""A runner is assigned no further runs while its event loop lag is at or above this value."""
--- a/src/runkeel/runners/remote_run.py
+++ b/src/runkeel/runners/remote_run.py
@@ -1,4 +1,4 @@
-"""One run of an item at another node, as the coordinator's scheduler sees it."""
+"""A run of an item at another node, as the coordinator's scheduler sees it."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from runkeel.runners.lease import LOST_SECONDS
 from runkeel.wire.generated.jobs.ttypes import ItemRunStart, ItemRunStartReply, ItemRunUpdate
 
-OVERTIME_SECONDS = 2.0
-"""A runner ends a run by itself at its deadline; the coordinator waits so much longer for that."""
+END_GRACE_SECONDS = 2.0
+"""Time after a run's deadline within which the coordinator expects the runner to end it."""
 
 
 class RemoteRun:
-    """Has the same form as :class:`runkeel.jobs.generation_run.GenerationRun`.
+    """Has the same interface as :class:`runkeel.jobs.generation_run.GenerationRun`.
 
-    Its text grows as the runner tells. It is over only when the runner has said so, or can't be
-    running it any more: no item goes on elsewhere before.
+    The partial output grows with the runner's progress updates. The run ends only when the runner
+    has confirmed it, or its lease has expired, so that the item never runs at two engines.
 
     Args:
-        partial: text of earlier runs, continued in place.
-        loading: tells whether the engine is loading a version.
-        send_start: sends the start; raises RunkeelError when no answer came.
-        want_end: called when the run is to be ended at its runner.
+        partial: output of earlier runs, extended in place.
+        loading: returns whether the engine is loading a version.
+        send_start: sends the start message; raises RunkeelError when there is no reply.
+        request_end: called with the run's id to have the runner end it.
 
     Attributes:
-        score: the scorer's stamp, if the text was scored.
-        scoring_problem: why it could not be; empty if it was or need not be.
+        score: the scorer's stamp; empty if the output was not scored.
+        scoring_problem: why scoring failed; empty if it succeeded or was not needed.
     """
 
     def __init__(
@@ -40,19 +40,19 @@
         partial: PartialText,
         loading: Callable[[], bool],
         send_start: Callable[[ItemRunStart], ItemRunStartReply],
-        want_end: Callable[[str], None],
+        request_end: Callable[[str], None],
     ) -> None:
         self._start = start
         self._partial = partial
         self.loading = loading
         self._send_start = send_start
-        self._want_end = want_end
+        self._request_end = request_end
         self._ended = Event()
         self._outcome = RunOutcome.BROKEN
         self._moved = False
-        self._gap = False
+        self._has_gap = False
         self._abandoned = False
-        """Nobody waits for its end any more; its runner has not confirmed it yet."""
+        """Whether :meth:`run` has returned before the runner confirmed the end."""
         self.events = 0
         self.first_event_at = 0.0
         self.last_event_at = 0.0
@@ -62,50 +62,52 @@
 
     @property
     def run_id(self) -> str:
-        """Names the run within its coordinator's term."""
+        """Id of the run, unique within the coordinator's term."""
         return self._start.run_id
 
     @property
     def item_id(self) -> str:
-        """The item that it runs."""
         return self._start.request_id
 
     @property
     def backend_id(self) -> str:
-        """The engine."""
         return self._start.backend_id
 
     def move_away(self) -> None:
-        """End the run; its outcome is MOVED once the runner has ended it."""
+        """Request the end of the run; its outcome is MOVED once the runner has confirmed it."""
         self._moved = True
-        self._want_end(self.run_id)
+        self._request_end(self.run_id)
 
     def run(self, deadline: float) -> RunOutcome:
-        """Run until the end; see :class:`RunOutcome`."""
+        """Start the run at its runner and wait for its end.
+
+        Args:
+            deadline: on the steady clock, in seconds.
+        """
         self._start.remaining_ms = max(1, int((deadline - steady_seconds()) * 1000))
         try:
-            problem = self._begin()
+            problem = self._start_at_runner()
             if problem:
                 self.detail = problem
                 return RunOutcome.REFUSED
-            if not self._ended.wait(deadline + OVERTIME_SECONDS - steady_seconds()):
-                self.detail = "the runner did not end it in time"
+            if not self._ended.wait(deadline + END_GRACE_SECONDS - steady_seconds()):
+                self.detail = "runner did not end the run before its deadline"
                 self._await_end()
             return self._outcome
         finally:
             self._abandoned = not self._ended.is_set()
             if self._abandoned:
-                self._want_end(self.run_id)
+                self._request_end(self.run_id)
 
-    def take(self, update: ItemRunUpdate) -> None:
-        """Take what the runner tells; parts that came before are passed over."""
+    def apply_update(self, update: ItemRunUpdate) -> None:
+        """Apply a progress update; pieces that were received before are skipped."""
         if self._abandoned:
-            # The text may be continued by another run already.
+            # Another run of the item may already be extending the output.
             return
         partial = self._partial
         known = self.events - update.first_piece
-        if known < 0 or self._gap:
-            self._take_after_gap(update)
+        if known < 0 or self._has_gap:
+            self._handle_gap(update)
             return
         fresh = update.pieces[known:]
         if fresh:
@@ -118,29 +120,29 @@
             self.last_event_at = now
         partial.whole = partial.whole or update.whole
         if update.outcome:
-            self._take_outcome(update)
+            self._apply_outcome(update)
 
-    def _take_after_gap(self, update: ItemRunUpdate) -> None:
-        """End a run of which something was never told; its text stays as far as it is known."""
-        self._gap = True
+    def _handle_gap(self, update: ItemRunUpdate) -> None:
+        """End a run with missing pieces; keeps the output received before the gap."""
+        self._has_gap = True
         if update.outcome:
-            self._finish(RunOutcome.BROKEN, "progress is missing")
+            self._finish(RunOutcome.BROKEN, "progress updates are missing")
         else:
-            self._want_end(self.run_id)
+            self._request_end(self.run_id)
 
-    def lose(self, reason: str) -> None:
-        """The runner can't be running it any more."""
+    def mark_lost(self, reason: str) -> None:
+        """End the run after its runner's lease has certainly expired."""
         self._finish(RunOutcome.MOVED if self._moved else RunOutcome.BROKEN, reason)
 
-    def _begin(self) -> str:
-        """Have the runner start; returns why it won't, empty if it does or may."""
+    def _start_at_runner(self) -> str:
+        """Send the start; returns why it was refused, or an empty string if it may have begun."""
         try:
             reply = self._send_start(self._start)
         except RunkeelError as error:
             if error.verdict is Verdict.NOT_RUN:
                 self._ended.set()
                 return error.detail
-            self.detail = f"start not answered: {error.code}"
+            self.detail = f"no reply to the start message: {error.code}"
             self._await_end()
             return ""
         if not reply.accepted:
@@ -149,11 +151,11 @@
         return ""
 
     def _await_end(self) -> None:
-        """Wait until the runner has confirmed the end, or its lease has lapsed."""
-        self._want_end(self.run_id)
+        """Request the end and wait until it is confirmed or the runner's lease has expired."""
+        self._request_end(self.run_id)
         self._ended.wait(2 * LOST_SECONDS)
 
-    def _take_outcome(self, update: ItemRunUpdate) -> None:
+    def _apply_outcome(self, update: ItemRunUpdate) -> None:
         if update.outcome == SCORING_FAILED:
             self.scoring_problem = update.detail
             self._finish(RunOutcome.COMPLETE, update.detail)
--- a/src/runkeel/runners/service.py
+++ b/src/runkeel/runners/service.py
@@ -1,8 +1,8 @@
-"""A node's side of running items for the coordinator.
+"""Runner's side: runs items for the coordinator and reports their progress.
 
-A node that is invited tells its progress until the coordinator wants it no more. Its runs live by a
-lease that each answer renews, see :mod:`runkeel.runners.lease`; with every lease that lapses a new
-session begins, so that a start that was sent before and comes late is refused.
+An invited node sends progress messages until the coordinator releases it. Its runs depend on a
+lease that each reply renews, see :mod:`runkeel.runners.lease`. When a lease expires, a new session
+begins, so that a start that was sent before and arrives late is refused.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.runners.hosted_run import HostedRun
 from runkeel.runners.lease import (
-    DISENGAGED_SECONDS,
+    COORDINATOR_SILENCE_SECONDS,
     HEARTBEAT_SECONDS,
-    PROGRESS_CALL_SECONDS,
-    PROGRESS_SECONDS,
+    PROGRESS_INTERVAL_SECONDS,
+    PROGRESS_TIMEOUT_SECONDS,
     RUN_LEASE_SECONDS,
 )
 from runkeel.wire.generated.common.ttypes import MessageType
@@ -43,22 +43,22 @@
 )
 from runkeel.wire.network import PeerNetwork
 
-MAXIMUM_REFUSED = 4_000
-"""Runs that are remembered as unwanted, in case their start comes late."""
+MAX_REFUSED_RUNS = 4_000
+"""Maximum number of unwanted run ids that are remembered to refuse starts that arrive late."""
 
 _SESSION_BYTES = 8
-_LEAST_PAUSE_SECONDS = 0.03
-"""Between two progress messages, also when runs end one after the other."""
+_MIN_PROGRESS_INTERVAL_SECONDS = 0.03
+"""Pause between progress messages, so that runs ending in quick succession share one."""
 
 
 class RunnerService:
-    """Accepts invitations and runs; at most one coordinator's at a time.
+    """Accepts invitations and runs of at most one coordinator at a time.
 
     Args:
-        known_epoch: the latest term that this node has heard of.
-        on_coordinator: called with the coordinator that invites this node, and its epoch.
-        keep_text: called with the epoch, an item and its text when a run of it is over here.
-        late_seconds: how late this process's timers are.
+        known_epoch: returns the latest epoch that this node knows.
+        on_coordinator: called with the address and epoch of a coordinator that invites this node.
+        keep_output: called with the epoch, item id and output of a run that has ended here.
+        loop_lag_seconds: returns this process's event loop lag.
     """
 
     def __init__(
@@ -71,8 +71,8 @@
         quarantine: Quarantine,
         known_epoch: Callable[[], int],
         on_coordinator: Callable[[NodeAddress, int], None],
-        keep_text: Callable[[int, str, PartialText], None] = lambda epoch, item, text: None,
-        late_seconds: Callable[[], float] = lambda: 0.0,
+        keep_output: Callable[[int, str, PartialText], None] = lambda epoch, item, output: None,
+        loop_lag_seconds: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._network = network
         self._shard = shard
@@ -82,129 +82,141 @@
         self._quarantine = quarantine
         self._known_epoch = known_epoch
         self._on_coordinator = on_coordinator
-        self.keep_text = keep_text
-        self._late_seconds = late_seconds
-        self._engagement: Engagement | None = None
+        self.keep_output = keep_output
+        self._loop_lag_seconds = loop_lag_seconds
+        self._assignment: CoordinatorAssignment | None = None
         self._stopping = False
-        network.on_call(MessageType.RUNNER_INVITE, RunnerInvite, self._answer_invite)
-        network.on_call(MessageType.ITEM_RUN_START, ItemRunStart, self._answer_start)
+        network.on_call(MessageType.RUNNER_INVITE, RunnerInvite, self._handle_invite)
+        network.on_call(MessageType.ITEM_RUN_START, ItemRunStart, self._handle_start)
 
     @property
     def hosted_runs(self) -> int:
-        """Runs at this node."""
-        return len(self._engagement) if self._engagement is not None else 0
+        """Number of runs at this node."""
+        return len(self._assignment) if self._assignment is not None else 0
 
     def end_earlier(self, epoch: int) -> None:
-        """End the runs for coordinators before the one of an epoch; their texts are kept."""
-        if self._engagement is not None and self._engagement.epoch < epoch:
-            self._leave("another coordinator is known")
+        """End the runs of coordinators of earlier epochs; their outputs are kept."""
+        if self._assignment is not None and self._assignment.epoch < epoch:
+            self._end_assignment("a later coordinator is known")
 
     def stop(self) -> None:
         """End all runs; accept no more."""
         self._stopping = True
-        self._leave("this node stops")
+        self._end_assignment("this node is stopping")
 
-    def _answer_invite(self, peer: str, invite: RunnerInvite) -> tuple[int, RunnerInviteReply]:
+    def _handle_invite(self, peer: str, invite: RunnerInvite) -> tuple[int, RunnerInviteReply]:
         accepted = not self._stopping and invite.epoch >= self._known_epoch()
-        current = self._engagement
-        if accepted and (current is None or current.over or current.epoch < invite.epoch):
-            self._leave(f"{peer} coordinates")
+        current = self._assignment
+        if accepted and (current is None or current.ended or current.epoch < invite.epoch):
+            self._end_assignment(f"invited by {peer}")
             self._on_coordinator(invite.coordinator, invite.epoch)
-            self._engagement = Engagement(self, peer, invite.epoch)
-            self._engagement.start()
+            self._assignment = CoordinatorAssignment(self, peer, invite.epoch)
+            self._assignment.start()
         return MessageType.RUNNER_INVITE_REPLY, RunnerInviteReply(accepted)
 
-    def _answer_start(self, peer: str, message: ItemRunStart) -> tuple[int, ItemRunStartReply]:
-        engagement = self._engagement
-        if engagement is None or engagement.epoch != message.epoch or self._stopping:
-            reply = ItemRunStartReply(False, "not engaged")
+    def _handle_start(self, peer: str, message: ItemRunStart) -> tuple[int, ItemRunStartReply]:
+        assignment = self._assignment
+        if assignment is None or assignment.epoch != message.epoch or self._stopping:
+            reply = ItemRunStartReply(False, "no assignment from this coordinator")
         else:
-            reply = engagement.begin(message)
+            reply = assignment.start_run(message)
         return MessageType.ITEM_RUN_START_REPLY, reply
 
-    def _leave(self, reason: str) -> None:
-        if self._engagement is not None:
-            self._engagement.stop(reason)
-            self._engagement = None
+    def _end_assignment(self, reason: str) -> None:
+        if self._assignment is not None:
+            self._assignment.stop(reason)
+            self._assignment = None
 
-    # What an engagement needs
+    # Used by CoordinatorAssignment
 
     def send_progress(self, coordinator: str, message: ItemRunProgress) -> ItemRunProgressReply:
-        """Tell the coordinator. Raises RunkeelError when no answer came."""
+        """Send a progress message to the coordinator. Raises RunkeelError if there is no reply."""
         message.shard = self._shard
-        message.late_ms = int(self._late_seconds() * 1000)
+        message.late_ms = int(self._loop_lag_seconds() * 1000)
         return self._network.call(
             coordinator,
             MessageType.ITEM_RUN_PROGRESS,
             message,
             ItemRunProgressReply,
-            PROGRESS_CALL_SECONDS,
+            PROGRESS_TIMEOUT_SECONDS,
         )
 
-    def superseded(self, epoch: int) -> bool:
-        """Return whether a later coordinator than that of a term is known."""
+    def is_superseded(self, epoch: int) -> bool:
+        """Return whether a later epoch than this one is known."""
         return self._known_epoch() > epoch
 
     def new_run(
         self, message: ItemRunStart, loading: Callable[[], bool], on_ended: Callable[[], None]
     ) -> HostedRun | str:
-        """Return a run that has not begun, or why there is none."""
+        """Return a run that is not started yet, or the reason why it is refused."""
         state = self._directory.find(message.backend_id)
         if state is None:
-            return "unknown back end"
+            return "unknown backend"
         if not state.backend.takes_work:
-            return "the back end takes no new work"
+            return "backend accepts no new work"
         run = HostedRun(
             message, state, self._protocol, self._scorer, self._quarantine, loading, on_ended
         )
-        return "back ends ended under the item" if run.held else run
+        return (
+            "item is quarantined: backends ended while running it"
+            if run.blocked_by_quarantine
+            else run
+        )
+
 
+class CoordinatorAssignment:
+    """This node's runs for one term of a coordinator.
 
-class Engagement:
-    """The runs for one term of one coordinator; one task tells progress, one guards the lease."""
+    One greenlet reports their progress, another one ends them when the lease expires.
+    """
 
     def __init__(self, service: RunnerService, coordinator: str, epoch: int) -> None:
         self.epoch = epoch
-        self.over = False
+        self.ended = False
         self._service = service
         self._coordinator = coordinator
         self._session = _new_session()
         self._renewed_at = steady_seconds()
-        self._answered_at = self._renewed_at
+        self._last_reply_at = self._renewed_at
         self._runs: dict[str, HostedRun] = {}
         self._refused: dict[str, None] = {}
-        self._never_begun: list[str] = []
+        self._never_started: list[str] = []
         self._loading: frozenset[str] = frozenset()
-        self._news = Event()
+        self._update_ready = Event()
         self._tasks: list[gevent.Greenlet] = []
 
     def __len__(self) -> int:
         return len(self._runs)
 
     def start(self) -> None:
-        """Start to tell."""
+        """Start reporting progress."""
         logger.info(
-            "runs items", code="runner_engaged", coordinator=self._coordinator, epoch=self.epoch
+            "running items for coordinator",
+            code="runner_engaged",
+            coordinator=self._coordinator,
+            epoch=self.epoch,
         )
-        self._tasks = [gevent.spawn(self._tell), gevent.spawn(self._watch_lease)]
+        self._tasks = [gevent.spawn(self._report_progress), gevent.spawn(self._watch_lease)]
 
     def stop(self, reason: str) -> None:
-        """End every run and tell no more."""
-        self.over = True
+        """End all runs and stop reporting."""
+        self.ended = True
         self._end_runs(reason)
         for task in self._tasks:
             if task is not gevent.getcurrent():
                 task.kill(block=False)
 
-    def begin(self, message: ItemRunStart) -> ItemRunStartReply:
-        """Begin a run, unless it is not wanted any more."""
-        problem = self._problem(message)
+    def start_run(self, message: ItemRunStart) -> ItemRunStartReply:
+        """Start a run, unless it is no longer wanted; starting a known run again has no effect."""
+        problem = self._refusal_reason(message)
         if problem:
             return ItemRunStartReply(False, problem)
         if message.run_id in self._runs:
             return ItemRunStartReply(True, "known")
         run_id = message.run_id
-        run = self._service.new_run(message, lambda: run_id in self._loading, self._news.set)
+        run = self._service.new_run(
+            message, lambda: run_id in self._loading, self._update_ready.set
+        )
         if isinstance(run, str):
             return ItemRunStartReply(False, run)
         self._runs[run_id] = run
@@ -212,61 +224,63 @@
         run.start()
         return ItemRunStartReply(True, "")
 
-    def _problem(self, message: ItemRunStart) -> str:
-        if message.session != self._session or self.over:
-            return "another session"
+    def _refusal_reason(self, message: ItemRunStart) -> str:
+        if message.session != self._session or self.ended:
+            return "session has ended"
         if message.run_id in self._refused:
-            return "ended before it began"
-        if self._lapsed():
-            return "the lease has lapsed"
+            return "ended before its start arrived"
+        if self._lease_expired():
+            return "lease expired"
         return ""
 
-    def _tell(self) -> None:
-        while not self.over:
-            self._exchange()
-            if self._service.superseded(self.epoch):
-                self.stop("another coordinator is known")
-            elif steady_seconds() - self._answered_at > DISENGAGED_SECONDS:
-                self.stop("the coordinator has been silent")
-            self._await_news()
+    def _report_progress(self) -> None:
+        while not self.ended:
+            self._send_updates()
+            if self._service.is_superseded(self.epoch):
+                self.stop("a later coordinator is known")
+            elif steady_seconds() - self._last_reply_at > COORDINATOR_SILENCE_SECONDS:
+                self.stop("no reply from the coordinator")
+            self._wait_for_update()
 
     def _watch_lease(self) -> None:
-        """End the runs at the moment that the lease lapses, whatever is waited for just then."""
-        while not self.over:
+        """End the runs as soon as the lease expires, even while a progress call is in flight."""
+        while not self.ended:
             gevent.sleep(max(0.0, self._renewed_at + RUN_LEASE_SECONDS - steady_seconds()))
-            if self._lapsed():
-                self._end_runs("no answer of the coordinator")
+            if self._lease_expired():
+                self._end_runs("lease expired without a reply from the coordinator")
                 self._session = _new_session()
-                # The coordinator is told on: it may take this node again.
+                # Progress messages continue, so that the coordinator can assign new runs.
                 self._renewed_at = steady_seconds()
 
-    def _await_news(self) -> None:
-        has_news = any(run.has_news for run in self._runs.values())
-        self._news.wait(PROGRESS_SECONDS if has_news or self._runs else HEARTBEAT_SECONDS)
-        self._news.clear()
-        gevent.sleep(_LEAST_PAUSE_SECONDS)
-
-    def _exchange(self) -> None:
-        """Tell what is new and take the answer; without one everything is told again."""
-        updates = [run.update() for run in self._runs.values() if run.has_news]
-        never_begun, self._never_begun = self._never_begun, []
-        updates += [_never_begun(run_id) for run_id in never_begun]
+    def _wait_for_update(self) -> None:
+        has_update = any(run.has_update for run in self._runs.values())
+        self._update_ready.wait(
+            PROGRESS_INTERVAL_SECONDS if has_update or self._runs else HEARTBEAT_SECONDS
+        )
+        self._update_ready.clear()
+        gevent.sleep(_MIN_PROGRESS_INTERVAL_SECONDS)
+
+    def _send_updates(self) -> None:
+        """Send pending updates and apply the reply; without a reply they are sent again."""
+        updates = [run.update() for run in self._runs.values() if run.has_update]
+        never_started, self._never_started = self._never_started, []
+        updates += [_never_started(run_id) for run_id in never_started]
         message = ItemRunProgress("", self.epoch, self._session, updates, 0)
         sent_at = steady_seconds()
         try:
             reply = self._service.send_progress(self._coordinator, message)
         except RunkeelError as error:
-            self._never_begun += never_begun
-            logger.debug("progress not told: {}", error.code, code="progress_lost")
+            self._never_started += never_started
+            logger.debug("progress message failed: {}", error.code, code="progress_lost")
             return
         if not reply.coordinating:
-            self.stop("not wanted any more")
+            self.stop("the coordinator no longer uses this runner")
             return
-        self._renewed_at = self._answered_at = sent_at
+        self._renewed_at = self._last_reply_at = sent_at
         for update in updates:
             run = self._runs.get(update.run_id)
-            if run is not None and run.note_told(update):
-                self._keep_text(run)
+            if run is not None and run.mark_reported(update):
+                self._keep_output(run)
                 del self._runs[update.run_id]
         HOSTED_RUNS.set(len(self._runs))
         self._loading = frozenset(reply.loading)
@@ -275,21 +289,21 @@
 
     def _end_unwanted(self, run_id: str) -> None:
         self._refused[run_id] = None
-        while len(self._refused) > MAXIMUM_REFUSED:
+        while len(self._refused) > MAX_REFUSED_RUNS:
             self._refused.pop(next(iter(self._refused)))
         run = self._runs.get(run_id)
         if run is not None:
             run.end()
         else:
-            self._never_begun.append(run_id)
+            self._never_started.append(run_id)
 
-    def _lapsed(self) -> bool:
+    def _lease_expired(self) -> bool:
         return steady_seconds() - self._renewed_at >= RUN_LEASE_SECONDS
 
     def _end_runs(self, reason: str) -> None:
         if self._runs:
             logger.info(
-                "runs ended",
+                "ended all runs for coordinator",
                 code="runner_runs_ended",
                 coordinator=self._coordinator,
                 epoch=self.epoch,
@@ -298,20 +312,22 @@
             )
         for run in self._runs.values():
             run.end()
-            self._keep_text(run)
+            self._keep_output(run)
         self._runs.clear()
         HOSTED_RUNS.set(0)
 
-    def _keep_text(self, run: HostedRun) -> None:
-        text = run.kept_text
-        if text is not None:
-            self._service.keep_text(self.epoch, run.item_id, text)
+    def _keep_output(self, run: HostedRun) -> None:
+        output = run.output_from_start
+        if output is not None:
+            self._service.keep_output(self.epoch, run.item_id, output)
 
 
 def _new_session() -> str:
     return secrets.token_hex(_SESSION_BYTES)
 
 
-def _never_begun(run_id: str) -> ItemRunUpdate:
+def _never_started(run_id: str) -> ItemRunUpdate:
     refused = RunOutcome.REFUSED.value
-    return ItemRunUpdate(run_id, 0, [], "", [], False, refused, "never begun", "")
+    return ItemRunUpdate(
+        run_id, 0, [], "", [], False, refused, "ended before its start arrived", ""
+    )
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -1,4 +1,4 @@
-"""What a runner does without its coordinator, and the coordinator without its runner."""
+"""Runner leases: what either side does when it no longer hears from the other."""
 
 import unittest
 from unittest import mock
@@ -24,41 +24,41 @@
 from tests.open_quarantine import open_quarantine
 
 SERVICE = "engines"
-LONGEST_WAIT_SECONDS = 10.0
+WAIT_TIMEOUT_SECONDS = 10.0
 SCALE = 0.25
-SCALED = (
+SCALED_CONSTANTS = (
     "HEARTBEAT_SECONDS",
-    "PROGRESS_CALL_SECONDS",
-    "PROGRESS_SECONDS",
+    "PROGRESS_TIMEOUT_SECONDS",
+    "PROGRESS_INTERVAL_SECONDS",
     "RUN_LEASE_SECONDS",
     "LOST_SECONDS",
-    "PLAN_SECONDS",
-    "INVITE_AGAIN_SECONDS",
+    "PLAN_INTERVAL_SECONDS",
+    "INVITE_RETRY_SECONDS",
 )
 
 
 class FakeRun:
-    """A run that goes on until it is ended."""
+    """A run that continues until it is ended."""
 
     def __init__(self, message, on_ended):
         self.run_id = message.run_id
-        self.has_news = False
+        self.has_update = False
         self.outcome = ""
         self.pieces = []
         self.item_id = message.request_id
         self._on_ended = on_ended
 
     @property
-    def kept_text(self):
+    def output_from_start(self):
         return PartialText(self.pieces, "1", [1])
 
     def start(self):
-        self.has_news = True
+        self.has_update = True
         self.pieces.append("a")
 
     def end(self):
         self.outcome = self.outcome or RunOutcome.MOVED.value
-        self.has_news = True
+        self.has_update = True
         self._on_ended()
 
     def update(self):
@@ -66,15 +66,15 @@
             self.run_id, 0, list(self.pieces), "1", [1], False, self.outcome, "", ""
         )
 
-    def note_told(self, update):
-        self.has_news = False
+    def mark_reported(self, update):
+        self.has_update = False
         return bool(update.outcome)
 
 
 class LeaseTest(unittest.TestCase):
     def setUp(self):
         for module in (pool, remote_run, service):
-            for name in SCALED:
+            for name in SCALED_CONSTANTS:
                 if hasattr(module, name):
                     patch = mock.patch.object(module, name, getattr(lease, name, 1.0) * SCALE)
                     patch.start()
@@ -89,7 +89,7 @@
         )
         self.epoch = 1
         self.hosted = []
-        self.kept = []
+        self.kept_outputs = []
         self.runner = RunnerService(
             self.network.node("r"),
             "fleet",
@@ -99,7 +99,7 @@
             open_quarantine(),
             lambda: self.epoch,
             lambda address, epoch: None,
-            lambda epoch, item, text: self.kept.append((epoch, item, text.pieces)),
+            lambda epoch, item, partial: self.kept_outputs.append((epoch, item, partial.pieces)),
         )
         self.runner.new_run = self._host
         self.addCleanup(self.runner.stop)
@@ -130,7 +130,7 @@
         self.hosted.append(FakeRun(message, on_ended))
         return self.hosted[-1]
 
-    def _wait(self, condition, seconds=LONGEST_WAIT_SECONDS):
+    def _wait(self, condition, seconds=WAIT_TIMEOUT_SECONDS):
         deadline = steady_seconds() + seconds
         while not (value := condition()):
             self.assertLess(steady_seconds(), deadline, "waited too long")
@@ -158,9 +158,9 @@
         return self.pool.new_run(self._joined(), start, PartialText(), lambda: False)
 
     def _begin(self):
-        """Start a run; returns it and the task that waits for its end."""
+        """Start a run; returns it and the greenlet that waits for its end."""
         run = self._new_run()
-        task = gevent.spawn(run.run, steady_seconds() + LONGEST_WAIT_SECONDS)
+        task = gevent.spawn(run.run, steady_seconds() + WAIT_TIMEOUT_SECONDS)
         self._wait(lambda: run.events)
         return run, task
 
@@ -169,9 +169,9 @@
         self.network.cut("c", "r")
         self._wait(lambda: self.hosted[0].outcome)
         self.assertFalse(task.ready())
-        self.assertIs(task.get(timeout=LONGEST_WAIT_SECONDS), RunOutcome.BROKEN)
+        self.assertIs(task.get(timeout=WAIT_TIMEOUT_SECONDS), RunOutcome.BROKEN)
 
-    def test_short_silence_ends_nothing(self):
+    def test_short_partition_ends_no_run(self):
         _, task = self._begin()
         self.network.cut("c", "r")
         gevent.sleep(0.4 * lease.RUN_LEASE_SECONDS * SCALE)
@@ -179,8 +179,8 @@
         gevent.sleep(2 * lease.LOST_SECONDS * SCALE)
         self.assertEqual((self.hosted[0].outcome, task.ready()), ("", False))
 
-    def test_start_that_comes_after_the_lease_has_lapsed_is_refused(self):
-        """The bytes of a start may be held up by a cut until after it."""
+    def test_start_that_arrives_after_the_lease_expired_is_refused(self):
+        """A start may be delayed by a network partition until after it has healed."""
         run = self._new_run()
         self.network.cut("c", "r")
         gevent.sleep(2 * lease.LOST_SECONDS * SCALE)
@@ -189,9 +189,9 @@
         self.assertIs(run.run(steady_seconds() + 1.0), RunOutcome.REFUSED)
         self.assertEqual(self.hosted, [])
 
-    def test_run_that_is_ended_before_its_start_comes_never_begins(self):
+    def test_run_that_is_ended_before_its_start_arrives_never_starts(self):
         run = self._new_run()
-        run._want_end(run.run_id)
+        run._request_end(run.run_id)
         self._wait(lambda: run._ended.is_set())
         self.assertIs(run._outcome, RunOutcome.REFUSED)
         self.assertIs(run.run(steady_seconds() + 1.0), RunOutcome.REFUSED)
@@ -203,38 +203,34 @@
         self._wait(lambda: self.hosted[0].outcome == RunOutcome.MOVED.value)
         self._wait(lambda: not self.pool._runners["r"].runs)
 
-    def test_item_goes_on_until_its_runner_has_confirmed_the_end(self):
-        """Trial hunt on kitami-yard, every item at runners, quiet-1 seed 446291687744: ORDER.
-
-        A step ended, the next one named the same item and its text; the run before went on for
-        45 ms more, and what it still told was added to the text that the next one continued.
-        """
+    def test_item_may_still_run_until_its_runner_has_confirmed_the_end(self):
+        """Late progress of an abandoned run must not be appended to the item's partial output."""
         run, task = self._begin()
         task.kill()
         self.assertTrue(self.pool.goes_on("i"))
         before = list(run._partial.pieces)
         late = ItemRunUpdate(run.run_id, len(before), ["late"], "2", [1], False, "", "", "")
-        run.take(late)
+        run.apply_update(late)
         self.assertEqual(run._partial.pieces, before)
         self._wait(lambda: not self.pool.goes_on("i"))
         self.assertEqual(self.hosted[0].outcome, RunOutcome.MOVED.value)
 
-    def test_moved_run_is_over_once_its_runner_says_so(self):
+    def test_moved_run_ends_once_its_runner_confirms_it(self):
         run, task = self._begin()
         run.move_away()
-        self.assertIs(task.get(timeout=LONGEST_WAIT_SECONDS), RunOutcome.MOVED)
+        self.assertIs(task.get(timeout=WAIT_TIMEOUT_SECONDS), RunOutcome.MOVED)
         self.assertEqual(self.hosted[0].outcome, RunOutcome.MOVED.value)
 
-    def test_runs_of_a_term_that_is_over_end(self):
+    def test_runs_of_an_earlier_term_end(self):
         self._begin()
         self.epoch = 2
         self._wait(lambda: self.hosted[0].outcome)
         self.assertEqual(self.runner.hosted_runs, 0)
 
-    def test_runner_keeps_its_texts_for_the_next_coordinator(self):
+    def test_runner_keeps_its_outputs_for_the_next_coordinator(self):
         self._begin()
         self.runner.end_earlier(2)
-        self.assertEqual(self.kept, [(1, "i", ["a"])])
+        self.assertEqual(self.kept_outputs, [(1, "i", ["a"])])
 
     def test_runs_end_when_their_coordinator_has_stepped_down(self):
         self._begin()
@@ -246,10 +242,10 @@
         gevent.sleep(3 * lease.HEARTBEAT_SECONDS * SCALE)
         self.assertEqual(self.pool._runners, {})
 
-    def test_nobody_is_invited_while_the_coordinator_reads_all_itself(self):
+    def test_no_runner_is_used_while_the_coordinator_runs_all_items_itself(self):
         self.pool.stop()
         few = self._pool(1)
-        few._demanded_at = -lease.DEMAND_SECONDS
+        few._last_demand_at = -lease.DEMAND_RETENTION_SECONDS
         few._runners.clear()
         self.assertFalse(few.needed)
         few.note_open(1)
@@ -258,55 +254,55 @@
             self.assertIsNone(few.runner_for(self.directory.get("e")))
             self.assertTrue(few.has_room)
 
-    def test_nodes_without_runs_are_let_go_when_they_are_no_longer_needed(self):
+    def test_idle_runners_are_released_when_they_are_no_longer_needed(self):
         _, task = self._begin()
-        self.pool._demanded_at = -lease.DEMAND_SECONDS
+        self.pool._last_demand_at = -lease.DEMAND_RETENTION_SECONDS
         gevent.sleep(3 * lease.HEARTBEAT_SECONDS * SCALE)
         self.assertEqual(len(self.pool._runners), 1)
         task.kill()
         self._wait(lambda: not self.pool._runners)
-        self._wait(lambda: self.runner._engagement.over)
+        self._wait(lambda: self.runner._assignment.ended)
         self.pool.note_open(1)
         self._joined()
 
-    def test_lease_ends_before_its_loss_is_taken_for_certain(self):
+    def test_lease_expires_before_the_runner_counts_as_lost(self):
         self.assertGreater(lease.LOST_SECONDS, lease.RUN_LEASE_SECONDS + 0.4)
-        tries = lease.PROGRESS_SECONDS + lease.PROGRESS_CALL_SECONDS
+        tries = lease.PROGRESS_INTERVAL_SECONDS + lease.PROGRESS_TIMEOUT_SECONDS
         self.assertLess(2 * tries, lease.RUN_LEASE_SECONDS)
 
 
 class RemoteRunTest(unittest.TestCase):
     def setUp(self):
         self.unwanted = []
-        self.text = PartialText()
+        self.partial = PartialText()
         start = ItemRunStart(run_id="1.1", backend_id="e")
         self.run = remote_run.RemoteRun(
-            start, self.text, lambda: False, lambda message: None, self.unwanted.append
+            start, self.partial, lambda: False, lambda message: None, self.unwanted.append
         )
 
     def _take(self, first, pieces, **more):
         fields = {"whole": False, "outcome": "", "detail": "", "score": ""} | more
         update = ItemRunUpdate("1.1", first, pieces, str(first + len(pieces)), [1], **fields)
-        self.run.take(update)
+        self.run.apply_update(update)
 
-    def test_progress_that_comes_twice_counts_once(self):
+    def test_progress_that_is_received_twice_counts_once(self):
         self._take(0, ["a", "b"])
         self._take(0, ["a", "b", "c"])
         self._take(3, ["d"], whole=True, outcome="complete", score="s")
-        self.assertEqual(self.text.pieces, ["a", "b", "c", "d"])
-        self.assertEqual((self.text.last_event_id, self.text.whole), ("4", True))
+        self.assertEqual(self.partial.pieces, ["a", "b", "c", "d"])
+        self.assertEqual((self.partial.last_event_id, self.partial.whole), ("4", True))
         self.assertEqual((self.run._outcome, self.run.score), (RunOutcome.COMPLETE, "s"))
 
-    def test_text_never_skips_a_piece(self):
+    def test_output_never_skips_a_piece(self):
         self._take(0, ["a"])
         self._take(2, ["c"], whole=True)
-        self.assertEqual((self.text.pieces, self.text.whole), (["a"], False))
+        self.assertEqual((self.partial.pieces, self.partial.whole), (["a"], False))
         self.assertEqual(self.unwanted, ["1.1"])
         self._take(2, ["c"], whole=True, outcome="complete")
         self.assertIs(self.run._outcome, RunOutcome.BROKEN)
-        self.assertFalse(self.text.whole)
+        self.assertFalse(self.partial.whole)
 
-    def test_text_that_could_not_be_scored_is_told_as_such(self):
+    def test_output_that_could_not_be_scored_is_reported_as_such(self):
         self._take(0, ["a"], whole=True, outcome="scoring_failed", detail="4 failures")
         self.assertIs(self.run._outcome, RunOutcome.COMPLETE)
         self.assertEqual(self.run.scoring_problem, "4 failures")
--- a/tests/runners/test_remote_runs.py
+++ b/tests/runners/test_remote_runs.py
@@ -1,4 +1,4 @@
-"""Items of a large fleet run on many nodes, on the stand-in of the platform."""
+"""Runs of batch items at runners, on a simulated deployment of the platform."""
 
 import unittest
 from unittest import mock
@@ -11,7 +11,7 @@
 from runkeel_lab.users_platform.deployment import Deployment
 from runkeel_lab.users_platform.servers import event_count, whole_text
 
-LONGEST_WAIT_SECONDS = 30.0
+WAIT_TIMEOUT_SECONDS = 30.0
 
 
 class RemoteRunsTest(unittest.TestCase):
@@ -26,12 +26,12 @@
         self.addCleanup(deployment.stop)
         deployment.start()
         deployment.wait_ready()
-        # Nodes are invited once there is more to run than the coordinator reads itself.
+        # Nodes are invited once more items are open than the coordinator runs itself.
         deployment.node(self.coordinator(deployment)).node._term.runners.note_open(1)
         self.wait(lambda: len(self.runners(deployment)) >= 2)
         return deployment
 
-    def wait(self, condition, seconds=LONGEST_WAIT_SECONDS):
+    def wait(self, condition, seconds=WAIT_TIMEOUT_SECONDS):
         deadline = steady_seconds() + seconds
         while not (value := condition()):
             self.assertLess(steady_seconds(), deadline, "waited too long")
@@ -47,7 +47,7 @@
         return list(term.runners._runners)
 
     def hosted(self, deployment):
-        """Return the runs at each node."""
+        """Return the number of runs at each node."""
         nodes = {name: deployment.node(name) for name in deployment.node_names}
         return {name: one.node._runner.hosted_runs for name, one in nodes.items() if one}
 
@@ -69,7 +69,7 @@
             self.assertEqual(result["Text"], whole_text(result["Id"]))
             self.assertTrue(result["Score"].endswith(f".score-{result['Id']}"))
 
-    def test_other_nodes_read_the_runs(self):
+    def test_other_nodes_run_the_items(self):
         deployment = self.start(edges=3)
         self.slow_down(deployment)
         items = self.long_items("j1", 8)
@@ -80,7 +80,7 @@
         self.check_job(deployment, "j1", items)
         self.wait(lambda: not sum(self.hosted(deployment).values()))
 
-    def test_items_go_on_elsewhere_when_their_node_dies(self):
+    def test_items_resume_elsewhere_when_their_runner_dies(self):
         deployment = self.start(edges=3)
         self.slow_down(deployment, 0.1)
         items = self.long_items("j2", 8)
@@ -88,12 +88,14 @@
         self.wait(lambda: sum(self.hosted(deployment).values()) == len(items))
         gevent.sleep(1.0)
         hosted = self.hosted(deployment)
-        victim = max((name for name in hosted if name != "edge-0"), key=lambda name: hosted[name])
-        self.assertGreater(hosted[victim], 0)
-        deployment.kill_node(victim)
+        killed_node = max(
+            (name for name in hosted if name != "edge-0"), key=lambda name: hosted[name]
+        )
+        self.assertGreater(hosted[killed_node], 0)
+        deployment.kill_node(killed_node)
         self.check_job(deployment, "j2", items)
         resumed = [run for engine in deployment.engines for run in engine.runs if run.resumed_after]
-        self.assertEqual(len(resumed), hosted[victim])
+        self.assertEqual(len(resumed), hosted[killed_node])
 
     def test_runs_of_an_ended_job_end(self):
         deployment = self.start(edges=3)
@@ -104,7 +106,7 @@
         self.wait(lambda: not any(engine.running for engine in deployment.engines), 1.0)
         self.wait(lambda: not sum(self.hosted(deployment).values()), 1.0)
 
-    def test_next_coordinator_lets_items_go_on_once_no_other_node_can_run_them(self):
+    def test_next_coordinator_resumes_items_once_no_other_node_can_run_them(self):
         deployment = self.start(edges=3, disks=2)
         self.slow_down(deployment, 0.1)
         items = self.long_items("j4", 6)
@@ -119,7 +121,7 @@
         resumed = [run for engine in deployment.engines for run in engine.runs if run.resumed_after]
         self.assertEqual({run.request_id for run in resumed}, set(items))
 
-    def test_new_version_reaches_engines_whose_runs_others_read(self):
+    def test_new_version_reaches_engines_with_runs_at_runners(self):
         deployment = self.start(edges=3)
         self.slow_down(deployment)
         items = self.long_items("j5", 8)
