--- a/src/runkeel/handoff/hint_client.py
+++ b/src/runkeel/handoff/hint_client.py
@@ -1,4 +1,4 @@
-"""Has a job kept by storage machines that the store can't take just now."""
+"""Sends hints of jobs to storage nodes while the store is unavailable, and looks them up."""
 
 from __future__ import annotations
 
@@ -24,53 +24,53 @@
 )
 from runkeel.wire.network import PeerNetwork
 
-HINT_SECONDS = 1.2
-"""Longest wait for the machines' answers: a call to a silent store, and a sync after it."""
+HINT_TIMEOUT_SECONDS = 1.2
+"""Timeout of sending a hint; covers a timed-out call to the store and a disk sync."""
 
-LOOKUP_SECONDS = 0.4
-"""Longest wait for the machines that may keep a job of which the store knows nothing.
+LOOKUP_TIMEOUT_SECONDS = 0.4
+"""Timeout of looking up a hint; nodes that reply later count as unheard.
 
-A reader of a job that there isn't waits for it; a machine that is later counts as not heard.
+Reads of a job that doesn't exist wait for it.
 """
 
 
 class JobTrace(enum.Enum):
-    """What the machines that keep jobs say of one that the store doesn't have."""
+    """Result of looking up, on the storage nodes, a job that is not in the store."""
 
     KEPT = "kept"
-    """One has it, so that it will be in the store."""
+    """A node keeps a hint of it, so that the job will be in the store."""
     RULED_OUT = "ruled_out"
     """It can't have been accepted."""
     UNSURE = "unsure"
-    """Too few of them were heard."""
+    """Too few nodes replied."""
 
 
 class HintOutcome(enum.Enum):
-    """What has become of a job that was handed over."""
+    """Result of sending hints of a job."""
 
     ACCEPTED = "accepted"
-    """It is in the store, or will be after any loss that must be borne."""
+    """The job is in the store, or its hints survive any loss within the tolerance."""
     UNSURE = "unsure"
-    """Some machine may have it."""
+    """Some node may keep a hint of it."""
     REFUSED = "refused"
-    """No machine has it."""
+    """No node keeps a hint of it."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Reply:
-    """A machine's answer; ``state`` is None without one."""
+    """Outcome of sending a hint to a storage node; ``state`` is None if there was no reply."""
 
-    keeper: Keeper
+    node: Keeper
     state: int | None
     may_be_kept: bool
 
 
 class HintClient:
-    """Hands jobs to the machines that keep hints, and asks them for what the store doesn't have.
+    """Sends hints of jobs to storage nodes, and looks up jobs that are not in the store.
 
     Args:
-        keepers: the machines with disks that are known to be up.
-        quorum: which of them are enough; None: there are no such machines.
+        keepers: returns the storage nodes that are known to be up.
+        quorum: decides which sets of nodes are enough; None if there are no storage nodes.
     """
 
     def __init__(
@@ -86,36 +86,38 @@
         self._quorum = quorum
 
     def keep(self, job_id: str, encoded: EncodedJob) -> HintOutcome:
-        """Hand a job to all machines; returns as soon as it is certain to last."""
-        keepers = self._keepers().keepers
-        if self._quorum is None or not self._quorum.lasts(keepers):
+        """Send hints of a job to all storage nodes; returns as soon as enough of them have it."""
+        nodes = self._keepers().keepers
+        if self._quorum is None or not self._quorum.is_durable(nodes):
             return HintOutcome.REFUSED
         message = JobHint(self._shard, job_id, job_text(encoded))
         replies: Queue = Queue()
-        for keeper in keepers:
-            gevent.spawn(self._hand_over, keeper, message, replies)
+        for node in nodes:
+            gevent.spawn(self._send_hint, node, message, replies)
         kept: set[Keeper] = set()
-        outcome = self._judge(replies, len(keepers), kept)
+        outcome = self._collect_replies(replies, len(nodes), kept)
         logger.info(
-            "job handed over",
+            "sent job hints to storage nodes",
             code="job_handed_over",
             job=job_id,
-            keepers=len(keepers),
-            kept=sorted(one.node_id for one in kept),
+            keepers=len(nodes),
+            kept=sorted(node.node_id for node in kept),
             outcome=outcome.value,
         )
         return outcome
 
     def trace(self, job_id: str) -> JobTrace:
-        """Find out whether a job that the store doesn't have may have been accepted."""
+        """Look up whether a job that is not in the store may have been accepted."""
         if self._quorum is None:
             return JobTrace.RULED_OUT
         known = self._keepers()
         message = JobHintLookup(self._shard, job_id)
-        asking = {one: gevent.spawn(self._look_up, one, message) for one in known.keepers}
-        gevent.joinall(list(asking.values()), timeout=LOOKUP_SECONDS)
-        replies = {one: task.value for one, task in asking.items() if task.value is not None}
-        unheard = [one for one in known.keepers if one not in replies or not replies[one].remembers]
+        lookups = {node: gevent.spawn(self._look_up, node, message) for node in known.keepers}
+        gevent.joinall(list(lookups.values()), timeout=LOOKUP_TIMEOUT_SECONDS)
+        replies = {node: task.value for node, task in lookups.items() if task.value is not None}
+        unheard = [
+            node for node in known.keepers if node not in replies or not replies[node].remembers
+        ]
         if any(reply.kept for reply in replies.values()):
             trace = JobTrace.KEPT
         elif known.complete and self._quorum.rules_out(unheard):
@@ -123,65 +125,65 @@
         else:
             trace = JobTrace.UNSURE
         logger.info(
-            "job looked up",
+            "looked up job on storage nodes",
             code="job_looked_up",
             job=job_id,
             trace=trace.value,
             keepers=len(known.keepers),
             complete=known.complete,
-            unheard=sorted(one.node_id for one in unheard),
+            unheard=sorted(node.node_id for node in unheard),
         )
         return trace
 
-    def _judge(self, replies: Queue, count: int, kept: set[Keeper]) -> HintOutcome:
-        """Wait for the answers; ``kept`` takes the machines that have the job."""
-        deadline = steady_seconds() + HINT_SECONDS
-        unsure = False
+    def _collect_replies(self, replies: Queue, count: int, kept: set[Keeper]) -> HintOutcome:
+        """Wait until the outcome is certain; adds the nodes that keep a hint to ``kept``."""
+        deadline = steady_seconds() + HINT_TIMEOUT_SECONDS
+        may_be_stored = False
         for _ in range(count):
             try:
                 reply = replies.get(timeout=max(0.0, deadline - steady_seconds()))
             except Empty:
-                unsure = True
+                may_be_stored = True
                 break
             if reply.state == JobHintState.STORED:
                 return HintOutcome.ACCEPTED
             if reply.state == JobHintState.KEPT:
-                kept.add(reply.keeper)
-            unsure = unsure or reply.may_be_kept
-            if self._quorum.lasts(kept):
+                kept.add(reply.node)
+            may_be_stored = may_be_stored or reply.may_be_kept
+            if self._quorum.is_durable(kept):
                 return HintOutcome.ACCEPTED
-        return HintOutcome.UNSURE if unsure else HintOutcome.REFUSED
+        return HintOutcome.UNSURE if may_be_stored else HintOutcome.REFUSED
 
-    def _hand_over(self, keeper: Keeper, message: JobHint, replies: Queue) -> None:
+    def _send_hint(self, node: Keeper, message: JobHint, replies: Queue) -> None:
         try:
             reply = self._network.call(
-                keeper.node_id, MessageType.JOB_HINT, message, JobHintReply, HINT_SECONDS
+                node.node_id, MessageType.JOB_HINT, message, JobHintReply, HINT_TIMEOUT_SECONDS
             )
         except RunkeelError as error:
-            _log_unreached(keeper, error)
-            replies.put(_Reply(keeper, None, error.verdict is not Verdict.NOT_RUN))
+            _log_unreachable(node, error)
+            replies.put(_Reply(node, None, error.verdict is not Verdict.NOT_RUN))
             return
-        replies.put(_Reply(keeper, reply.state, reply.state != JobHintState.REFUSED))
+        replies.put(_Reply(node, reply.state, reply.state != JobHintState.REFUSED))
 
-    def _look_up(self, keeper: Keeper, message: JobHintLookup) -> JobHintLookupReply | None:
+    def _look_up(self, node: Keeper, message: JobHintLookup) -> JobHintLookupReply | None:
         try:
             return self._network.call(
-                keeper.node_id,
+                node.node_id,
                 MessageType.JOB_HINT_LOOKUP,
                 message,
                 JobHintLookupReply,
-                LOOKUP_SECONDS,
+                LOOKUP_TIMEOUT_SECONDS,
             )
         except RunkeelError as error:
-            _log_unreached(keeper, error)
+            _log_unreachable(node, error)
             return None
 
 
-def _log_unreached(keeper: Keeper, error: RunkeelError) -> None:
+def _log_unreachable(node: Keeper, error: RunkeelError) -> None:
     logger.info(
-        "keeper not reached",
+        "storage node unreachable",
         code="keeper_unreached",
-        keeper=keeper.node_id,
-        zone=keeper.zone,
+        keeper=node.node_id,
+        zone=node.zone,
         error=str(error.code),
     )
--- a/src/runkeel/handoff/hint_log.py
+++ b/src/runkeel/handoff/hint_log.py
@@ -1,4 +1,4 @@
-"""Jobs on a machine's own disk until the store has them, a file each."""
+"""Hints on a node's local disk, one file each, until their jobs are in the store."""
 
 from __future__ import annotations
 
@@ -13,71 +13,73 @@
 from loguru import logger
 
 _SUFFIX = ".job"
-_MARK = "remembers"
-"""Lies in a folder that holds all that was given to the machine: a new disk has none."""
+_HISTORY_MARKER = "remembers"
+"""File that marks a folder as holding every unexpired hint of the node; a new disk lacks it."""
 
 _HEADER = struct.Struct(">II")
-"""Length of the body and its checksum."""
+"""Length and CRC-32 of the body."""
 
 
 class HintLog:
-    """The hints in one folder; one process writes it.
+    """The hints in a folder, which a single process writes to.
 
-    A file that was cut short was never acknowledged, and is left out. Disk calls run in gevent's
-    thread pool, so that a slow disk does not hold up the node.
+    Truncated files were never acknowledged and are deleted on load. Writes and removals run in
+    gevent's thread pool, so that a slow disk does not block the event loop.
     """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
 
     def load(self) -> dict[str, str]:
-        """Return the kept texts by job, as earlier processes left them; called once."""
+        """Return the serialized jobs by id, as earlier processes left them; called once."""
         hints: dict[str, str] = {}
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
             for path in sorted(self._folder.glob(f"*{_SUFFIX}")):
                 found = _read(path)
                 if found is None:
-                    logger.info("hint cut short", code="hint_damaged", file=path.name)
+                    logger.info("deleted truncated hint", code="hint_damaged", file=path.name)
                     path.unlink()
                 else:
                     hints[found[0]] = found[1]
         except OSError as error:
-            logger.warning("hints not read", code="hint_log_failed", error=str(error))
+            logger.warning("reading hints failed", code="hint_log_failed", error=str(error))
         return hints
 
     @property
-    def marked(self) -> bool:
-        """Whether this folder holds all that may have been given to the machine."""
-        return (self._folder / _MARK).exists()
-
-    def mark(self) -> None:
-        """Take note that it does, from now on."""
-        self._off_loop(_write, self._folder, self._folder / _MARK, b"")
-
-    def put(self, job_id: str, text: str) -> bool:
-        """Keep a job; True once it lasts."""
-        return self._off_loop(_write, self._folder, self._path(job_id), _encode(job_id, text))
+    def history_complete(self) -> bool:
+        """Whether this folder holds every unexpired hint that the node has accepted."""
+        return (self._folder / _HISTORY_MARKER).exists()
+
+    def mark_history_complete(self) -> None:
+        """Record on disk that the history is complete from now on."""
+        self._run_in_threadpool(_write, self._folder, self._folder / _HISTORY_MARKER, b"")
+
+    def put(self, job_id: str, serialized_job: str) -> bool:
+        """Write a hint; returns whether it is durable."""
+        return self._run_in_threadpool(
+            _write, self._folder, self._path(job_id), _encode(job_id, serialized_job)
+        )
 
     def remove(self, job_id: str) -> None:
-        """Forget a job; one that comes back after a loss of power is in the store already."""
-        self._off_loop(_remove, self._path(job_id))
+        """Delete a hint; not synced, since the job of a hint that reappears is in the store."""
+        self._run_in_threadpool(_remove, self._path(job_id))
 
-    def _off_loop(self, function, *arguments) -> bool:
+    def _run_in_threadpool(self, function, *arguments) -> bool:
         error = gevent.get_hub().threadpool.apply(function, arguments)
         if error is not None:
-            logger.warning("disk failed", code="hint_log_failed", error=str(error))
+            logger.warning("hint disk operation failed", code="hint_log_failed", error=str(error))
         return error is None
 
     def _path(self, job_id: str) -> Path:
-        # A job's id is its caller's choice, and no name for a file.
+        # Job ids are chosen by clients and may not be valid file names.
         return self._folder / (
             hashlib.blake2b(job_id.encode(), digest_size=16).hexdigest() + _SUFFIX
         )
 
 
-def _encode(job_id: str, text: str) -> bytes:
-    body = zlib.compress(json.dumps([job_id, text]).encode(), 1)
+def _encode(job_id: str, serialized_job: str) -> bytes:
+    body = zlib.compress(json.dumps([job_id, serialized_job]).encode(), 1)
     return _HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
@@ -89,12 +91,12 @@
     body = data[_HEADER.size :]
     if len(body) != length or zlib.crc32(body) != checksum:
         return None
-    job_id, text = json.loads(zlib.decompress(body))
-    return job_id, text
+    job_id, serialized_job = json.loads(zlib.decompress(body))
+    return job_id, serialized_job
 
 
 def _write(folder: Path, path: Path, data: bytes) -> OSError | None:
-    """Write a file under its name so that both last; returns the error if that failed."""
+    """Write a file and sync it and its directory; returns the error if that failed."""
     try:
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
@@ -104,11 +106,11 @@
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
-        names = os.open(folder, os.O_RDONLY)
+        directory = os.open(folder, os.O_RDONLY)
         try:
-            os.fsync(names)
+            os.fsync(directory)
         finally:
-            os.close(names)
+            os.close(directory)
     except OSError as error:
         return error
     return None
--- a/src/runkeel/handoff/hint_service.py
+++ b/src/runkeel/handoff/hint_service.py
@@ -1,4 +1,4 @@
-"""Keeps jobs that other nodes could not write to the store, and writes them when it can."""
+"""Storage node's side: keeps hints of jobs and writes the jobs to the store when it is back."""
 
 from __future__ import annotations
 
@@ -32,35 +32,37 @@
 )
 from runkeel.wire.network import PeerNetwork
 
-STORE_SECONDS = 0.5
-"""Longest wait for the store to take a job."""
+STORE_TIMEOUT_SECONDS = 0.5
+"""Timeout of writing a job to the store."""
 
-HANDOFF_SECONDS = 0.3
-"""Pause between attempts to write what is kept; the store's price for a refused call is small."""
+HANDOFF_INTERVAL_SECONDS = 0.3
+"""Maximum pause between attempts to write the hinted jobs to the store."""
 
-EXPIRY_SECONDS = 120.0
-"""A hint that is older is dropped: its job is due to be removed from the store, if it was there.
+HINT_EXPIRY_SECONDS = 120.0
+"""Age of a job, since its submission, at which its hint is dropped.
 
-Below the age at which coordinators remove jobs (150 s), so that none comes back after that.
+Must be below the age at which coordinators remove jobs from the store, so that no removed job is
+written again.
 """
 
-REMEMBER_SECONDS = EXPIRY_SECONDS + 5.0
-"""A machine whose disk was empty when it started doesn't know for so long what it was given before.
+NEW_DISK_WAIT_SECONDS = HINT_EXPIRY_SECONDS + 5.0
+"""Time after which a node that started with a new disk may deny that it keeps a job.
 
-Whatever that was has been dropped by then.
+All hints that it may have lost with the previous disk have expired by then.
 """
 
-MAXIMUM_HINT_BYTES = 64 * 1024 * 1024
-"""Texts that are kept at once; beyond that a hint is refused. A fifth of the smallest disk."""
+MAX_TOTAL_HINT_BYTES = 64 * 1024 * 1024
+"""Maximum total size of the kept hints; further ones are refused."""
 
 
 class HintService:
-    """A node's side of keeping hints; one without a disk keeps none.
+    """Accepts and hands off hints; a node without a disk accepts none.
 
     Args:
-        log: on the machine's disk; None: it has none.
-        on_hint: called with each job that this node keeps; what it refuses must not run.
-        first_start: the whole system starts for the first time: there is nothing to remember.
+        log: hints on the node's disk; None if it has no disk.
+        on_hint: called with the id and document of each job that this node accepts a hint of.
+        first_start: whether the whole deployment starts for the first time, so that no earlier
+            hints can exist.
     """
 
     def __init__(
@@ -77,76 +79,79 @@
         self._log = log
         self._on_hint = on_hint
         self._hints: dict[str, str] = {}
-        self._remembers = log is None or first_start
-        """Whether this node would know of a job that it was given; without a disk it takes none."""
-        self._memory_task: gevent.Greenlet | None = None
-        self._waiting = Event()
-        self._task: gevent.Greenlet | None = None
-        network.on_call(MessageType.JOB_HINT, JobHint, self._serve_hint)
-        network.on_call(MessageType.JOB_HINT_LOOKUP, JobHintLookup, self._serve_lookup)
+        self._history_complete = log is None or first_start
+        """Whether this node knows of every hint that it accepted; without a disk there are none."""
+        self._history_task: gevent.Greenlet | None = None
+        self._has_hints = Event()
+        self._handoff_task: gevent.Greenlet | None = None
+        network.on_call(MessageType.JOB_HINT, JobHint, self._handle_hint)
+        network.on_call(MessageType.JOB_HINT_LOOKUP, JobHintLookup, self._handle_lookup)
 
     @property
-    def kept(self) -> int:
-        """Jobs that this node keeps for the store."""
+    def hint_count(self) -> int:
+        """Number of hints that this node keeps."""
         return len(self._hints)
 
     def jobs(self) -> list[tuple[str, EncodedJob]]:
-        """Return the jobs that this node keeps, by id."""
-        return [(job_id, job_from_text(text)) for job_id, text in self._hints.items()]
+        """Return the id and the document of each job that this node keeps a hint of."""
+        return [
+            (job_id, job_from_text(serialized_job))
+            for job_id, serialized_job in self._hints.items()
+        ]
 
     def start(self) -> None:
-        """Hand on what is kept, from now on."""
+        """Load the hints on disk and start handing them off."""
         if self._log is None:
             return
         self._hints = self._log.load()
-        self._memory_task = gevent.spawn(self._begin_to_remember)
+        self._history_task = gevent.spawn(self._wait_for_history)
         if self._hints:
-            logger.info("hints read", code="hints_read", jobs=len(self._hints))
-            self._waiting.set()
-        self._task = gevent.spawn(self._hand_on)
+            logger.info("loaded hints from disk", code="hints_read", jobs=len(self._hints))
+            self._has_hints.set()
+        self._handoff_task = gevent.spawn(self._handoff_loop)
 
     def stop(self) -> None:
-        """Hand on no more."""
-        for task in (self._task, self._memory_task):
+        """Stop handing off hints."""
+        for task in (self._handoff_task, self._history_task):
             if task is not None:
                 task.kill(block=False)
 
-    def _begin_to_remember(self) -> None:
-        """Vouch for what this disk holds, once it holds all that may have been given before."""
-        if not self._log.marked:
-            if not self._remembers:
+    def _wait_for_history(self) -> None:
+        """Mark the history as complete, on a new disk once all hints lost before have expired."""
+        if not self._log.history_complete:
+            if not self._history_complete:
                 logger.warning(
-                    "disk is new: what was kept on it before is not known",
+                    "hint disk is new; earlier hints are unknown until they expire",
                     code="hints_forgotten",
-                    seconds=REMEMBER_SECONDS,
+                    seconds=NEW_DISK_WAIT_SECONDS,
                 )
-                gevent.sleep(REMEMBER_SECONDS)
-            self._log.mark()
-        self._remembers = True
+                gevent.sleep(NEW_DISK_WAIT_SECONDS)
+            self._log.mark_history_complete()
+        self._history_complete = True
 
-    def _serve_hint(self, peer: str, message: JobHint) -> tuple[int, JobHintReply]:
-        state = self._take(peer, message)
+    def _handle_hint(self, peer: str, message: JobHint) -> tuple[int, JobHintReply]:
+        state = self._accept(peer, message)
         JOB_HINTS.labels(_STATE_NAMES[state]).inc()
         return MessageType.JOB_HINT_REPLY, JobHintReply(state)
 
-    def _serve_lookup(self, peer: str, message: JobHintLookup) -> tuple[int, JobHintLookupReply]:
+    def _handle_lookup(self, peer: str, message: JobHintLookup) -> tuple[int, JobHintLookupReply]:
         return MessageType.JOB_HINT_LOOKUP_REPLY, JobHintLookupReply(
-            message.job_id in self._hints, self._remembers
+            message.job_id in self._hints, self._history_complete
         )
 
-    def _take(self, peer: str, message: JobHint) -> int:
+    def _accept(self, peer: str, message: JobHint) -> int:
         try:
             encoded = job_from_text(message.content)
         except (KeyError, TypeError, ValueError) as error:
-            logger.warning("hint not understood", code="bad_hint", sender=peer, error=repr(error))
+            logger.warning("malformed hint", code="bad_hint", sender=peer, error=repr(error))
             return JobHintState.REFUSED
         if self._store.reachable:
-            stored = self._stored(message.job_id, encoded)
+            stored = self._write_to_store(message.job_id, encoded)
             if stored is not None:
                 return JobHintState.STORED if stored else JobHintState.REFUSED
-        state = self._keep(message.job_id, message.content)
+        state = self._store_hint(message.job_id, message.content)
         logger.info(
-            "job handed to this node",
+            "received job hint",
             code="job_hint",
             job=message.job_id,
             sender=peer,
@@ -156,30 +161,32 @@
             self._on_hint(message.job_id, encoded)
         return state
 
-    def _keep(self, job_id: str, text: str) -> int:
+    def _store_hint(self, job_id: str, serialized_job: str) -> int:
         if self._log is None:
             return JobHintState.REFUSED
         if job_id not in self._hints:
             size = sum(len(one) for one in self._hints.values())
-            if size + len(text) > MAXIMUM_HINT_BYTES or not self._log.put(job_id, text):
+            if size + len(serialized_job) > MAX_TOTAL_HINT_BYTES or not self._log.put(
+                job_id, serialized_job
+            ):
                 return JobHintState.REFUSED
-            self._hints[job_id] = text
-            self._waiting.set()
+            self._hints[job_id] = serialized_job
+            self._has_hints.set()
         return JobHintState.KEPT
 
-    def _stored(self, job_id: str, encoded: EncodedJob) -> bool | None:
+    def _write_to_store(self, job_id: str, encoded: EncodedJob) -> bool | None:
         """Write a job to the store.
 
         Returns:
-            whether it stands there; False: another tenant's has its id; None: no answer came.
+            True if the store has it, False if another tenant uses its id, None if the store failed.
         """
         try:
-            JobSubmission(self._store, job_id, encoded).write(STORE_SECONDS)
+            JobSubmission(self._store, job_id, encoded).write(STORE_TIMEOUT_SECONDS)
         except DocumentConflictError as conflict:
             return may_be_of_tenant(conflict.current, tenant_of_job(encoded.content))
         except RunkeelError as error:
             logger.info(
-                "job not handed on yet",
+                "writing hinted job to the store failed",
                 code="job_hint_delayed",
                 job=job_id,
                 error=str(error.code),
@@ -187,27 +194,27 @@
             return None
         return True
 
-    def _hand_on(self) -> None:
+    def _handoff_loop(self) -> None:
         while True:
-            self._waiting.wait()
+            self._has_hints.wait()
             self._store.await_turn()
-            for job_id, text in list(self._hints.items()):
-                if not self._hand_on_one(job_id, text):
+            for job_id, serialized_job in list(self._hints.items()):
+                if not self._hand_off(job_id, serialized_job):
                     break
             if not self._hints:
-                self._waiting.clear()
-            gevent.sleep(HANDOFF_SECONDS * random.uniform(0.5, 1.0))
+                self._has_hints.clear()
+            gevent.sleep(HANDOFF_INTERVAL_SECONDS * random.uniform(0.5, 1.0))
 
-    def _hand_on_one(self, job_id: str, text: str) -> bool:
-        """Write a kept job to the store, or drop one that is too old; False: the store is away."""
-        encoded = job_from_text(text)
+    def _hand_off(self, job_id: str, serialized_job: str) -> bool:
+        """Write a job to the store or drop its expired hint; returns False if the store failed."""
+        encoded = job_from_text(serialized_job)
         age_seconds = time.time() - float(encoded.content["submitted_at"])
-        expired = age_seconds > EXPIRY_SECONDS
-        if not expired and self._stored(job_id, encoded) is None:
+        expired = age_seconds > HINT_EXPIRY_SECONDS
+        if not expired and self._write_to_store(job_id, encoded) is None:
             return False
         logger.log(
             "WARNING" if expired else "INFO",
-            "hint dropped" if expired else "job handed on",
+            "dropped expired hint" if expired else "handed off job to the store",
             code="job_hint_expired" if expired else "job_handed_on",
             job=job_id,
             age_ms=int(age_seconds * 1000),
--- a/src/runkeel/handoff/keeper_quorum.py
+++ b/src/runkeel/handoff/keeper_quorum.py
@@ -1,8 +1,7 @@
-"""Decides which sets of machines keep a job for certain, and which rule out that one is kept.
+"""Decides which sets of storage nodes suffice to accept a job, and which to deny that it exists.
 
-One predicate answers both, so that an acceptance and a "no such job" always meet: whoever says that
-there is no such job must have heard so from at least one machine of each set by which a job may
-have been accepted.
+Both use the same predicate, so that the sets always intersect: a job may be denied only after at
+least one node of each set that could have accepted it has denied it.
 """
 
 from __future__ import annotations
@@ -13,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LossTolerance:
-    """What may be lost at once without losing what was acknowledged: one of the three.
+    """Losses that accepted jobs survive; at most one of the three kinds at a time.
 
     Attributes:
-        machines: of those with disks.
-        zones: whole zones, with all of their machines.
-        regions: whole regions.
+        machines: number of storage nodes.
+        zones: number of whole zones.
+        regions: number of whole regions.
     """
 
     machines: int
@@ -28,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Keeper:
-    """A machine that keeps jobs which the store does not have yet."""
+    """A storage node, which keeps hints of jobs that are not in the store yet."""
 
     node_id: str
     zone: str
@@ -36,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownKeepers:
-    """The machines that keep jobs, as one node knows them.
+    """The storage nodes that a node knows.
 
     Attributes:
-        complete: False for a node that may not have been told of all of them yet.
+        complete: whether this is certain to include all of them.
     """
 
     keepers: tuple[Keeper, ...]
@@ -48,30 +47,30 @@
 
 @dataclass(frozen=True, slots=True)
 class KeeperQuorum:
-    """The rule of one deployment.
+    """The quorum rule of a deployment.
 
     Attributes:
-        regions: the region of each zone; a zone that isn't named is one by itself.
+        regions: the region of each zone; an unlisted zone is a region of its own.
     """
 
     tolerance: LossTolerance
     regions: Mapping[str, str] = field(default_factory=dict)
 
-    def lasts(self, keepers: Iterable[Keeper]) -> bool:
-        """Return whether what all of these keep outlives every loss that must be borne."""
-        kept = set(keepers)
-        zones = {one.zone for one in kept}
+    def is_durable(self, keepers: Iterable[Keeper]) -> bool:
+        """Return whether a job that these nodes keep survives any loss within the tolerance."""
+        nodes = set(keepers)
+        zones = {node.zone for node in nodes}
         regions = {self.regions.get(zone, zone) for zone in zones}
         return (
-            len({one.node_id for one in kept}) > self.tolerance.machines
+            len({node.node_id for node in nodes}) > self.tolerance.machines
             and len(zones) > self.tolerance.zones
             and len(regions) > self.tolerance.regions
         )
 
     def rules_out(self, unheard: Iterable[Keeper]) -> bool:
-        """Return whether a job that all others deny can't have been accepted.
+        """Return whether a job that all other nodes deny can't have been accepted.
 
         Args:
-            unheard: machines that gave no answer, or whose memory does not go back far enough.
+            unheard: nodes that did not reply, or whose history of hints is incomplete.
         """
-        return not self.lasts(unheard)
+        return not self.is_durable(unheard)
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -1,4 +1,4 @@
-"""Jobs that the store can't take: kept on disks, handed on, never promised without need."""
+"""Hinted handoff: jobs survive store outages and are denied only when they can't exist."""
 
 import tempfile
 import time
@@ -29,8 +29,8 @@
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 SHARD = "fleet"
-KEEPERS = ("k1", "k2", "k3")
-LONGEST_WAIT_SECONDS = 5.0
+STORAGE_NODES = ("k1", "k2", "k3")
+WAIT_TIMEOUT_SECONDS = 5.0
 
 
 def make_encoded(job_id="j", age_seconds=0.0, tenant="", body="Ym9keQ=="):
@@ -46,14 +46,14 @@
         self.folder = Path(folder.name)
 
     def wait(self, condition):
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not condition():
             self.assertLess(steady_seconds(), deadline)
             gevent.sleep(0.01)
 
 
 class HintLogTest(HintCase):
-    def test_what_was_put_is_there_after_a_restart(self):
+    def test_hints_survive_a_restart(self):
         log = HintLog(self.folder / "jobs")
         self.assertEqual(log.load(), {})
         self.assertTrue(log.put("../a job/1", "text"))
@@ -65,7 +65,7 @@
         log.remove("other")
         self.assertEqual(HintLog(self.folder / "jobs").load(), {"../a job/1": "text"})
 
-    def test_file_that_was_cut_short_is_left_out(self):
+    def test_truncated_file_is_ignored(self):
         log = HintLog(self.folder)
         log.put("whole", "text")
         log.put("cut", "text")
@@ -75,7 +75,7 @@
             path.write_bytes(path.read_bytes()[:length])
             self.assertEqual(HintLog(self.folder).load(), {"whole": "text"})
 
-    def test_disk_that_fails_keeps_nothing(self):
+    def test_put_fails_when_the_disk_fails(self):
         log = HintLog(self.folder / "missing")
         self.assertFalse(log.put("j", "text"))
 
@@ -85,10 +85,10 @@
         super().setUp()
         self.objects = MemoryDocumentStore()
         self.network = MemoryNetwork()
-        self.taken = []
+        self.hinted_jobs = []
         self.services = {}
 
-    def keeper(self, name="k1", disk=True, store=None, first_start=False):
+    def start_node(self, name="k1", disk=True, store=None, first_start=False):
         observed = ObservedStore(store or self.objects)
         log = HintLog(self.folder / name) if disk else None
         service = HintService(
@@ -96,7 +96,7 @@
             SHARD,
             observed,
             log,
-            lambda job, _: self.taken.append(job),
+            lambda job, _: self.hinted_jobs.append(job),
             first_start,
         )
         service.start()
@@ -104,7 +104,7 @@
         self.services[name] = service
         return service
 
-    def hand(self, encoded, job_id="j", name="k1"):
+    def send_hint(self, encoded, job_id="j", name="k1"):
         reply = self.network.node("edge").call(
             name, MessageType.JOB_HINT, JobHint(SHARD, job_id, job_text(encoded)), JobHintReply, 5.0
         )
@@ -113,159 +113,159 @@
     def stored(self, job_id="j"):
         return job_id in self.objects.names(DocumentKind.JOB)
 
-    def test_job_is_stored_at_once_where_the_store_answers(self):
-        self.keeper()
-        self.assertEqual(self.hand(make_encoded()), JobHintState.STORED)
+    def test_job_is_stored_at_once_when_the_store_is_reachable(self):
+        self.start_node()
+        self.assertEqual(self.send_hint(make_encoded()), JobHintState.STORED)
         self.assertTrue(self.stored())
-        self.assertEqual((self.services["k1"].kept, self.taken), (0, []))
-        self.assertEqual(self.hand(make_encoded()), JobHintState.STORED)
+        self.assertEqual((self.services["k1"].hint_count, self.hinted_jobs), (0, []))
+        self.assertEqual(self.send_hint(make_encoded()), JobHintState.STORED)
 
     def test_job_is_kept_until_the_store_is_back(self):
-        self.keeper()
+        self.start_node()
         self.objects.down = True
-        self.assertEqual(self.hand(make_encoded()), JobHintState.KEPT)
-        self.assertEqual(self.hand(make_encoded()), JobHintState.KEPT)
-        self.assertEqual(self.taken, ["j", "j"])
+        self.assertEqual(self.send_hint(make_encoded()), JobHintState.KEPT)
+        self.assertEqual(self.send_hint(make_encoded()), JobHintState.KEPT)
+        self.assertEqual(self.hinted_jobs, ["j", "j"])
         self.objects.down = False
         self.wait(self.stored)
-        self.wait(lambda: not self.services["k1"].kept)
+        self.wait(lambda: not self.services["k1"].hint_count)
         self.assertEqual(HintLog(self.folder / "k1").load(), {})
 
-    def test_kept_job_outlives_the_process(self):
-        self.keeper()
+    def test_hint_survives_the_process(self):
+        self.start_node()
         self.objects.down = True
-        self.hand(make_encoded())
+        self.send_hint(make_encoded())
         self.services["k1"].stop()
-        self.keeper()
+        self.start_node()
         self.objects.down = False
         self.wait(self.stored)
 
-    def test_first_to_hand_on_counts(self):
-        for name in KEEPERS:
-            self.keeper(name)
+    def test_several_nodes_hand_off_a_job_once(self):
+        for name in STORAGE_NODES:
+            self.start_node(name)
         self.objects.down = True
-        for name in KEEPERS:
-            self.assertEqual(self.hand(make_encoded(), name=name), JobHintState.KEPT)
+        for name in STORAGE_NODES:
+            self.assertEqual(self.send_hint(make_encoded(), name=name), JobHintState.KEPT)
         self.objects.down = False
-        self.wait(lambda: not any(self.services[name].kept for name in KEEPERS))
+        self.wait(lambda: not any(self.services[name].hint_count for name in STORAGE_NODES))
         self.assertEqual(self.objects.names(DocumentKind.JOB), ["j"])
 
-    def test_node_without_a_disk_keeps_and_runs_nothing(self):
-        self.keeper(disk=False)
+    def test_node_without_a_disk_refuses_hints(self):
+        self.start_node(disk=False)
         self.objects.down = True
-        self.assertEqual(self.hand(make_encoded()), JobHintState.REFUSED)
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.send_hint(make_encoded()), JobHintState.REFUSED)
+        self.assertEqual(self.hinted_jobs, [])
 
-    def test_id_that_another_tenant_has_taken(self):
-        self.keeper()
-        self.hand(make_encoded(tenant="parish"))
-        self.assertEqual(self.hand(make_encoded(tenant="school")), JobHintState.REFUSED)
+    def test_job_id_of_another_tenant_is_refused(self):
+        self.start_node()
+        self.send_hint(make_encoded(tenant="parish"))
+        self.assertEqual(self.send_hint(make_encoded(tenant="school")), JobHintState.REFUSED)
 
-    def test_text_that_is_no_job(self):
-        self.keeper()
+    def test_malformed_hint_is_refused(self):
+        self.start_node()
         reply = self.network.node("edge").call(
             "k1", MessageType.JOB_HINT, JobHint(SHARD, "j", "[]"), JobHintReply, 5.0
         )
         self.assertEqual(reply.state, JobHintState.REFUSED)
 
-    def test_old_job_does_not_come_back(self):
-        """It may have been run, ended and removed while the machine that kept it was away."""
-        self.keeper()
+    def test_expired_hint_is_not_written_to_the_store(self):
+        """Its job may have completed and been removed while the storage node was down."""
+        self.start_node()
         self.objects.down = True
-        self.hand(make_encoded(age_seconds=hint_service.EXPIRY_SECONDS + 1))
+        self.send_hint(make_encoded(age_seconds=hint_service.HINT_EXPIRY_SECONDS + 1))
         self.objects.down = False
-        self.wait(lambda: not self.services["k1"].kept)
+        self.wait(lambda: not self.services["k1"].hint_count)
         self.assertFalse(self.stored())
 
-    def test_no_more_is_kept_than_there_is_room_for(self):
-        self.keeper()
+    def test_hint_beyond_the_size_limit_is_refused(self):
+        self.start_node()
         self.objects.down = True
-        large = make_encoded("large", body="x" * hint_service.MAXIMUM_HINT_BYTES)
-        self.assertEqual(self.hand(large, "large"), JobHintState.REFUSED)
-        self.assertEqual(self.hand(make_encoded()), JobHintState.KEPT)
+        large = make_encoded("large", body="x" * hint_service.MAX_TOTAL_HINT_BYTES)
+        self.assertEqual(self.send_hint(large, "large"), JobHintState.REFUSED)
+        self.assertEqual(self.send_hint(make_encoded()), JobHintState.KEPT)
 
 
 class HintClientTest(HintServiceTest):
     def client(self, copies=2, complete=True):
         quorum = KeeperQuorum(LossTolerance(copies - 1)) if copies else None
-        known = KnownKeepers(tuple(Keeper(name, "z") for name in KEEPERS), complete)
+        known = KnownKeepers(tuple(Keeper(name, "z") for name in STORAGE_NODES), complete)
         return HintClient(self.network.node("edge"), SHARD, lambda: known, quorum)
 
     def test_accepted_once_enough_disks_have_it(self):
-        for name in KEEPERS:
-            self.keeper(name)
+        for name in STORAGE_NODES:
+            self.start_node(name)
         self.objects.down = True
         self.network.silent.add("k2")
         self.assertIs(self.client().keep("j", make_encoded()), HintOutcome.ACCEPTED)
         self.network.silent.add("k3")
         self.assertIs(self.client().keep("j2", make_encoded("j2")), HintOutcome.UNSURE)
 
-    def test_accepted_where_one_keeper_reaches_the_store(self):
-        refused = MemoryDocumentStore()
-        refused.down = True
-        self.keeper("k1", store=refused)
-        self.keeper("k2", disk=False, store=refused)
-        self.keeper("k3", disk=False)
+    def test_accepted_when_one_storage_node_reaches_the_store(self):
+        unreachable_store = MemoryDocumentStore()
+        unreachable_store.down = True
+        self.start_node("k1", store=unreachable_store)
+        self.start_node("k2", disk=False, store=unreachable_store)
+        self.start_node("k3", disk=False)
         self.assertIs(self.client(3).keep("j", make_encoded()), HintOutcome.ACCEPTED)
         self.assertTrue(self.stored())
 
-    def test_refused_only_where_nobody_has_it(self):
-        for name in KEEPERS:
-            self.keeper(name, disk=False)
+    def test_refused_when_no_node_has_it(self):
+        for name in STORAGE_NODES:
+            self.start_node(name, disk=False)
         self.objects.down = True
         self.assertIs(self.client().keep("j", make_encoded()), HintOutcome.REFUSED)
         self.assertIs(self.client(4).keep("j", make_encoded()), HintOutcome.REFUSED)
         self.assertIs(self.client(0).keep("j", make_encoded()), HintOutcome.REFUSED)
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.hinted_jobs, [])
 
-    def test_job_that_is_kept_is_not_said_to_be_unknown(self):
-        for name in KEEPERS:
-            self.keeper(name, first_start=True)
+    def test_job_with_a_hint_is_not_ruled_out(self):
+        for name in STORAGE_NODES:
+            self.start_node(name, first_start=True)
         self.objects.down = True
-        self.hand(make_encoded(), name="k2")
+        self.send_hint(make_encoded(), name="k2")
         self.assertIs(self.client().trace("j"), JobTrace.KEPT)
         self.assertIs(self.client().trace("other"), JobTrace.RULED_OUT)
 
-    def test_job_is_ruled_out_only_by_the_word_of_enough_machines(self):
-        """Machines that gave no answer counted as if they had denied it."""
-        for name in KEEPERS:
-            self.keeper(name, first_start=True)
+    def test_job_is_ruled_out_only_by_enough_nodes(self):
+        """Nodes that do not reply must not count as having denied the job."""
+        for name in STORAGE_NODES:
+            self.start_node(name, first_start=True)
         self.network.silent.add("k1")
         self.assertIs(self.client().trace("j"), JobTrace.RULED_OUT)
         self.network.silent.add("k2")
         self.assertIs(self.client().trace("j"), JobTrace.UNSURE)
 
-    def test_machine_whose_disk_is_new_can_deny_nothing(self):
-        self.keeper("k1", first_start=True)
-        self.keeper("k2")
-        self.keeper("k3")
+    def test_node_with_a_new_disk_cannot_deny_jobs(self):
+        self.start_node("k1", first_start=True)
+        self.start_node("k2")
+        self.start_node("k3")
         self.assertIs(self.client().trace("j"), JobTrace.UNSURE)
 
-    def test_disk_that_vouched_once_does_so_after_a_restart(self):
-        self.keeper("k1", first_start=True)
-        self.wait(lambda: HintLog(self.folder / "k1").marked)
+    def test_complete_history_stays_complete_after_a_restart(self):
+        self.start_node("k1", first_start=True)
+        self.wait(lambda: HintLog(self.folder / "k1").history_complete)
         self.services["k1"].stop()
-        self.assertTrue(self.remembers(self.keeper("k1")))
+        self.assertTrue(self.history_completes(self.start_node("k1")))
 
-    def test_new_disk_vouches_once_all_before_has_expired(self):
-        with mock.patch.object(hint_service, "REMEMBER_SECONDS", 0.05):
-            service = self.keeper("k1")
-            self.assertFalse(service._remembers)
-            self.assertTrue(self.remembers(service))
-            self.wait(lambda: HintLog(self.folder / "k1").marked)
+    def test_history_of_a_new_disk_completes_after_earlier_hints_expired(self):
+        with mock.patch.object(hint_service, "NEW_DISK_WAIT_SECONDS", 0.05):
+            service = self.start_node("k1")
+            self.assertFalse(service._history_complete)
+            self.assertTrue(self.history_completes(service))
+            self.wait(lambda: HintLog(self.folder / "k1").history_complete)
 
-    def remembers(self, service):
-        self.wait(lambda: service._remembers)
+    def history_completes(self, service):
+        self.wait(lambda: service._history_complete)
         return True
 
-    def test_node_that_has_just_started_denies_nothing(self):
-        for name in KEEPERS:
-            self.keeper(name, first_start=True)
+    def test_client_with_incomplete_node_list_denies_no_jobs(self):
+        for name in STORAGE_NODES:
+            self.start_node(name, first_start=True)
         self.assertIs(self.client(complete=False).trace("j"), JobTrace.UNSURE)
 
 
 class JobTextTest(unittest.TestCase):
-    def test_text_holds_document_and_parts(self):
+    def test_serialized_job_holds_document_and_parts(self):
         encoded = make_encoded()
         self.assertEqual(job_from_text(job_text(encoded)), encoded)
 
--- a/tests/handoff/test_keeper_quorum.py
+++ b/tests/handoff/test_keeper_quorum.py
@@ -1,4 +1,4 @@
-"""An acceptance and a "no such job" always meet; against an oracle of cuts and lost disks."""
+"""Accepting and denying quorums always intersect; property tests with cuts and lost disks."""
 
 import unittest
 from unittest import mock
@@ -19,106 +19,106 @@
 
 
 class KeeperQuorumTest(unittest.TestCase):
-    def test_kept_in_one_zone_of_which_any_may_be_lost(self):
-        """A zone was cut off; it accepted by its own three machines, and others said 404."""
+    def test_nodes_of_one_zone_are_not_enough_when_a_zone_may_be_lost(self):
+        """A partitioned zone must not accept a job on its own that others then deny."""
         quorum = KeeperQuorum(LossTolerance(2, 1))
-        self.assertFalse(quorum.lasts(keepers("a1", "a2", "a3")))
-        self.assertTrue(quorum.lasts(keepers("a1", "a2", "b1")))
+        self.assertFalse(quorum.is_durable(keepers("a1", "a2", "a3")))
+        self.assertTrue(quorum.is_durable(keepers("a1", "a2", "b1")))
 
-    def test_zone_that_is_not_heard_can_be_ruled_out(self):
+    def test_job_can_be_ruled_out_without_one_zone(self):
         quorum = KeeperQuorum(LossTolerance(2, 1))
         self.assertTrue(quorum.rules_out(keepers("a1", "a2", "a3")))
         self.assertFalse(quorum.rules_out(keepers("a1", "a2", "b1")))
 
-    def test_where_no_zone_need_be_borne_machines_alone_count(self):
+    def test_only_nodes_count_when_no_zone_loss_is_tolerated(self):
         quorum = KeeperQuorum(LossTolerance(1))
-        self.assertTrue(quorum.lasts(keepers("a1", "a2")))
-        self.assertFalse(quorum.lasts(keepers("a1")))
-        self.assertFalse(quorum.lasts(keepers("a1", "a1")))
+        self.assertTrue(quorum.is_durable(keepers("a1", "a2")))
+        self.assertFalse(quorum.is_durable(keepers("a1")))
+        self.assertFalse(quorum.is_durable(keepers("a1", "a1")))
 
-    def test_regions(self):
+    def test_nodes_of_one_region_are_not_enough_when_a_region_may_be_lost(self):
         quorum = KeeperQuorum(LossTolerance(1, 1, 1), REGIONS)
-        self.assertFalse(quorum.lasts(keepers("a1", "b1")))
-        self.assertTrue(quorum.lasts(keepers("a1", "c1")))
+        self.assertFalse(quorum.is_durable(keepers("a1", "b1")))
+        self.assertTrue(quorum.is_durable(keepers("a1", "c1")))
 
 
 @st.composite
-def histories(draw):
-    """Machines, those that took a job, those that lost their disks, those a reader heard."""
-    fates = st.sampled_from(["heard", "unheard", "wiped"])
-    machines, kept, wiped, heard = [], set(), set(), set()
+def scenarios(draw):
+    """Storage nodes, those that accepted a job, that lost their disks, and that a reader heard."""
+    outcomes = st.sampled_from(["heard", "unheard", "wiped"])
+    nodes, kept, wiped, heard = [], set(), set(), set()
     tolerance = LossTolerance(draw(st.integers(0, 2)), draw(st.integers(0, 1)))
     for zone in ZONES[: draw(st.integers(1, 3))]:
         for number in range(draw(st.integers(1, 3))):
-            machine = Keeper(f"{zone}{number}", zone)
-            machines.append(machine)
+            node = Keeper(f"{zone}{number}", zone)
+            nodes.append(node)
             if draw(st.booleans()):
-                kept.add(machine)
-            fate = draw(fates)
-            if fate == "wiped" and len(wiped) < tolerance.machines:
-                wiped.add(machine)
-            if fate != "unheard":
-                heard.add(machine)
-    return tolerance, machines, kept, wiped, heard
+                kept.add(node)
+            outcome = draw(outcomes)
+            if outcome == "wiped" and len(wiped) < tolerance.machines:
+                wiped.add(node)
+            if outcome != "unheard":
+                heard.add(node)
+    return tolerance, nodes, kept, wiped, heard
 
 
-class MeetingTest(unittest.TestCase):
-    def check(self, history, vouching):
-        """What was accepted is never ruled out, whatever is cut off and whose disks are lost.
+class IntersectionTest(unittest.TestCase):
+    def check(self, scenario, trusted):
+        """Assert that an accepted job is not ruled out despite partitions and lost disks.
 
         Args:
-            vouching: tells whose denials count, of those that were heard and those wiped.
+            trusted: returns the nodes whose denials count, given those heard and those wiped.
         """
-        tolerance, machines, kept, wiped, heard = history
+        tolerance, nodes, kept, wiped, heard = scenario
         quorum = KeeperQuorum(tolerance)
-        if (kept - wiped) & heard or not quorum.lasts(kept):
+        if (kept - wiped) & heard or not quorum.is_durable(kept):
             return
-        unheard = [one for one in machines if one not in vouching(heard, wiped)]
-        self.assertFalse(quorum.rules_out(unheard), history)
+        unheard = [one for one in nodes if one not in trusted(heard, wiped)]
+        self.assertFalse(quorum.rules_out(unheard), scenario)
 
     @OPTIONS
-    @given(histories())
-    def test_accepted_job_is_never_ruled_out(self, history):
-        self.check(history, lambda heard, wiped: heard - wiped)
+    @given(scenarios())
+    def test_accepted_job_is_never_ruled_out(self, scenario):
+        self.check(scenario, lambda heard, wiped: heard - wiped)
 
     @OPTIONS
-    @given(histories())
-    def test_accepted_job_outlives_what_must_be_borne(self, history):
-        tolerance, machines, kept, wiped, heard = history
-        if KeeperQuorum(tolerance).lasts(kept):
+    @given(scenarios())
+    def test_accepted_job_survives_losses_within_the_tolerance(self, scenario):
+        tolerance, nodes, kept, wiped, heard = scenario
+        if KeeperQuorum(tolerance).is_durable(kept):
             self.assertTrue(kept - wiped)
             for zone in ZONES:
                 if tolerance.zones:
                     self.assertTrue([one for one in kept if one.zone != zone])
 
-    def finds(self, vouching=lambda heard, wiped: heard - wiped):
+    def finds(self, trusted=lambda heard, wiped: heard - wiped):
         """Return whether some seed's examples violate the rule."""
         for number in range(SEEDS):
-            run = seed(number)(OPTIONS(given(histories())(lambda one: self.check(one, vouching))))
+            run = seed(number)(OPTIONS(given(scenarios())(lambda one: self.check(one, trusted))))
             try:
                 run()
             except AssertionError:
                 return True
         return False
 
-    def test_new_disk_that_denies_is_found(self):
+    def test_check_finds_denials_of_new_disks(self):
         self.assertTrue(self.finds(lambda heard, wiped: heard))
 
-    def test_reader_that_takes_silence_for_a_denial_is_found(self):
+    def test_check_finds_silence_counted_as_denial(self):
         with mock.patch.object(KeeperQuorum, "rules_out", lambda self, unheard: True):
             self.assertTrue(self.finds())
 
-    def test_acceptance_that_does_not_look_at_zones_is_found(self):
-        """Where a reader rules out by zones, an acceptance must be spread over them."""
+    def test_check_finds_acceptance_that_ignores_zones(self):
+        """If readers rule jobs out by zones, accepting nodes must be spread over zones."""
 
-        def by_machines(quorum, kept):
+        def by_node_count(quorum, kept):
             return len(set(kept)) > quorum.tolerance.machines
 
-        lasts = KeeperQuorum.lasts
+        is_durable = KeeperQuorum.is_durable
         with (
-            mock.patch.object(KeeperQuorum, "lasts", by_machines),
+            mock.patch.object(KeeperQuorum, "is_durable", by_node_count),
             mock.patch.object(
-                KeeperQuorum, "rules_out", lambda quorum, unheard: not lasts(quorum, unheard)
+                KeeperQuorum, "rules_out", lambda quorum, unheard: not is_durable(quorum, unheard)
             ),
         ):
             self.assertTrue(self.finds())
