--- a/src/runkeel/runners/remote_run.py
+++ b/src/runkeel/runners/remote_run.py
@@ -18,7 +18,7 @@
 
 
 class RemoteRun:
-    """Has the same interface as :class:`runkeel.jobs.generation_run.GenerationRun`.
+    """A run at a runner; has the interface of :class:`runkeel.jobs.generation_run.GenerationRun`.
 
     The partial output grows with the runner's progress updates. The run ends only when the runner
     has confirmed it, or its lease has expired, so that the item never runs at two engines.
