--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -20,7 +20,7 @@
 from runkeel.jobs.coordinator import JobCoordinator
 from runkeel.jobs.engine_placement import EnginePlacement
 from runkeel.jobs.engine_versions import report_versions
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.job_copies import CopiedJob, JobCopySender
 from runkeel.jobs.job_documents import EncodedJob
 from runkeel.jobs.scheduler import Scheduler
@@ -95,7 +95,7 @@
     """
 
     def __init__(
-        self, dependencies: TermDependencies, epoch: int, partial_outputs: dict[str, PartialText]
+        self, dependencies: TermDependencies, epoch: int, partial_outputs: dict[str, PartialOutput]
     ) -> None:
         self.epoch = epoch
         self._node_id = dependencies.node_id
--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class PartialText:
+class PartialOutput:
     """Output received so far for a generation.
 
     Attributes:
@@ -102,7 +102,7 @@
         state: BackendState,
         request: GenerationRequest,
         watched: WatchedRequest,
-        partial: PartialText,
+        partial: PartialOutput,
         minimum_version: int,
         single_version: bool,
         loading: Callable[[], bool] = lambda: False,
--- a/src/runkeel/jobs/item_task.py
+++ b/src/runkeel/jobs/item_task.py
@@ -8,7 +8,7 @@
 
 from runkeel.api.jobs import JobItem
 from runkeel.gateway.backends import BackendState
-from runkeel.jobs.generation_run import GenerationRun, PartialText
+from runkeel.jobs.generation_run import GenerationRun, PartialOutput
 from runkeel.jobs.job_state import JobState
 from runkeel.quarantine.quarantine import WatchedRequest
 from runkeel.runners.remote_run import RemoteRun
@@ -29,7 +29,7 @@
 
     state: JobState
     item: JobItem
-    partial: PartialText = field(default_factory=PartialText)
+    partial: PartialOutput = field(default_factory=PartialOutput)
     failures: int = 0
     not_before: float = 0.0
     engine: BackendState | None = None
@@ -39,7 +39,7 @@
     route_missing_since: float = 0.0
     score: str = ""
     scoring_problem: str = ""
-    better_output: PartialText | None = None
+    better_output: PartialOutput | None = None
     """A longer partial output received while it ran; it resumes from it once the run has ended."""
     started: bool = False
     """Its greenlet has started; one killed before that never runs its cleanup."""
--- a/src/runkeel/jobs/kept_texts.py
+++ b/src/runkeel/jobs/kept_texts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 
 MAX_OUTPUTS = 2_000
 """Upper bound of retained outputs; the oldest are evicted first."""
@@ -12,9 +12,9 @@
     """The most recent partial outputs by item ID."""
 
     def __init__(self) -> None:
-        self._outputs: dict[str, PartialText] = {}
+        self._outputs: dict[str, PartialOutput] = {}
 
-    def keep(self, item_id: str, output: PartialText) -> None:
+    def keep(self, item_id: str, output: PartialOutput) -> None:
         """Retain an item's partial output; ignored if it is empty."""
         if not output.pieces:
             return
@@ -22,9 +22,9 @@
         while len(self._outputs) > MAX_OUTPUTS:
             self._outputs.pop(next(iter(self._outputs)))
 
-    def get(self, item_id: str) -> PartialText | None:
+    def get(self, item_id: str) -> PartialOutput | None:
         return self._outputs.get(item_id)
 
-    def take(self, item_id: str) -> PartialText | None:
+    def take(self, item_id: str) -> PartialOutput | None:
         """Remove and return an item's partial output."""
         return self._outputs.pop(item_id, None)
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -18,7 +18,7 @@
 from runkeel.jobs.engine_placement import EnginePlacement
 from runkeel.jobs.expiry import expires_at
 from runkeel.jobs.finished_items import FinishedItems
-from runkeel.jobs.generation_run import PartialText, RunOutcome
+from runkeel.jobs.generation_run import PartialOutput, RunOutcome
 from runkeel.jobs.item_queue import ItemQueue, Lane
 from runkeel.jobs.item_runner import ItemRunner, failed_result
 from runkeel.jobs.item_task import ItemTask
@@ -121,7 +121,7 @@
         self._queue.clear()
         self._running.clear()
 
-    def keep_texts(self, outputs: dict[str, PartialText]) -> None:
+    def keep_texts(self, outputs: dict[str, PartialOutput]) -> None:
         """Store partial outputs of an earlier coordinator's runs, for jobs that are added later."""
         for item_id, output in outputs.items():
             self._retained.keep(item_id, output)
@@ -137,7 +137,7 @@
         known = task.partial if task is not None else self._retained.get(item_id)
         return known is None or known.precedence < precedence
 
-    def adopt_text(self, item_id: str, text: PartialText) -> None:
+    def adopt_text(self, item_id: str, text: PartialOutput) -> None:
         """Continue an item from a better partial output, if its job accepts the versions."""
         if not self.lacks_text(item_id, text.precedence):
             return
@@ -152,7 +152,7 @@
         self._resume_from(task, text)
         self._queue.put(task)
 
-    def _switch_to_output(self, task: ItemTask, output: PartialText) -> None:
+    def _switch_to_output(self, task: ItemTask, output: PartialOutput) -> None:
         """Abort the item's run so that it resumes from a better partial output."""
         if not self._can_use(task, output):
             return
@@ -167,16 +167,16 @@
         task.better_output = output
         task.run.move_away()
 
-    def _can_use(self, task: ItemTask, output: PartialText) -> bool:
+    def _can_use(self, task: ItemTask, output: PartialOutput) -> bool:
         route = self._route(task)
         return output.fits(task.state.job.minimum_version, bool(route and route.single_version))
 
-    def _resume_from(self, task: ItemTask, output: PartialText) -> None:
+    def _resume_from(self, task: ItemTask, output: PartialOutput) -> None:
         task.resumed = True
         if self._can_use(task, output):
             task.partial = output
 
-    def open_texts(self) -> dict[str, PartialText]:
+    def open_texts(self) -> dict[str, PartialOutput]:
         """Return the partial outputs of all items whose results are not listed yet."""
         tasks = [*self._finished.unlisted(), *self._running, *self._queue.tasks()]
         return {task.item.item_id: task.partial for task in tasks if task.partial.pieces}
--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -14,7 +14,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_replication import CALL_TIMEOUT_SECONDS, TextCopies, make_update
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import TextReplication, TextReplicationReply, TextUpdate
@@ -39,7 +39,7 @@
     def lacks_text(self, item_id: str, precedence: tuple[int, int]) -> bool:
         """Return whether an item would continue from an output of this precedence."""
 
-    def adopt_text(self, item_id: str, text: PartialText) -> None:
+    def adopt_text(self, item_id: str, text: PartialOutput) -> None:
         """Let an item that has not started continue from an output."""
 
 
@@ -76,7 +76,9 @@
             if outputs:
                 gevent.spawn(self._run_handover, coordinator, epoch, outputs)
 
-    def _run_handover(self, coordinator: str, epoch: int, outputs: dict[str, PartialText]) -> None:
+    def _run_handover(
+        self, coordinator: str, epoch: int, outputs: dict[str, PartialOutput]
+    ) -> None:
         offers = [_make_offer(item_id, output) for item_id, output in outputs.items()]
         wanted = self._send_until_answered(coordinator, epoch, offers)
         for first in range(0, len(wanted), MAX_OUTPUTS_PER_MESSAGE):
@@ -144,13 +146,13 @@
         return wanted
 
 
-def _make_offer(item_id: str, output: PartialText) -> TextUpdate:
+def _make_offer(item_id: str, output: PartialOutput) -> TextUpdate:
     count, versions = len(output.pieces), list(output.versions)
     return TextUpdate(item_id, output.generation, count, [], "", versions, output.whole)
 
 
-def _decode_output(update: TextUpdate) -> PartialText:
-    return PartialText(
+def _decode_output(update: TextUpdate) -> PartialOutput:
+    return PartialOutput(
         list(update.pieces),
         update.last_event_id or None,
         list(update.versions),
--- a/src/runkeel/jobs/text_replication.py
+++ b/src/runkeel/jobs/text_replication.py
@@ -17,7 +17,7 @@
 from runkeel.background_task import BackgroundTask
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_journal import JournalRecord, TextJournal
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import TextReplication, TextReplicationReply, TextUpdate
@@ -66,7 +66,7 @@
         network: PeerNetwork,
         shard: str,
         epoch: int,
-        outputs: Callable[[], dict[str, PartialText]],
+        outputs: Callable[[], dict[str, PartialOutput]],
         successors: Callable[[], list[str]],
         journal: TextJournal | None = None,
         finished: Callable[[str], bool] = lambda item_id: False,
@@ -104,12 +104,12 @@
         sends.append(gevent.spawn(self._write_journal, outputs))
         gevent.joinall(sends)
 
-    def _write_journal(self, outputs: dict[str, PartialText]) -> None:
+    def _write_journal(self, outputs: dict[str, PartialOutput]) -> None:
         if self._journal is not None:
             self._journal.append(lambda starts_file: self._journal_messages(outputs, starts_file))
 
     def _journal_messages(
-        self, outputs: dict[str, PartialText], starts_file: bool
+        self, outputs: dict[str, PartialOutput], starts_file: bool
     ) -> list[TextReplication]:
         if starts_file:
             self._journaled.clear()
@@ -117,7 +117,7 @@
         _record_sent(updates, self._journaled)
         return _messages(self._shard, self._epoch, updates)
 
-    def _send_to(self, receiver: str, outputs: dict[str, PartialText]) -> None:
+    def _send_to(self, receiver: str, outputs: dict[str, PartialOutput]) -> None:
         """Send a receiver its missing updates; stops at the first message that fails."""
         known = self._sent.setdefault(receiver, {})
         for message in _messages(self._shard, self._epoch, self._missing_updates(outputs, known)):
@@ -154,7 +154,7 @@
         return True
 
     def _missing_updates(
-        self, outputs: dict[str, PartialText], known: dict[str, SentOutput]
+        self, outputs: dict[str, PartialOutput], known: dict[str, SentOutput]
     ) -> list[TextUpdate]:
         """Return the updates that a receiver lacks, removals of finished items first."""
         removed = [item_id for item_id in known if item_id not in outputs]
@@ -195,7 +195,7 @@
         known[update.item_id] = SentOutput(update.generation, pieces, update.whole)
 
 
-def make_update(item_id: str, output: PartialText, sent: SentOutput | None) -> TextUpdate | None:
+def make_update(item_id: str, output: PartialOutput, sent: SentOutput | None) -> TextUpdate | None:
     """Return the part of an output that a receiver lacks; None if it is up to date."""
     first = sent.pieces if sent is not None and sent.generation == output.generation else 0
     if sent is not None and first == len(output.pieces) and sent.whole == output.whole:
@@ -213,7 +213,7 @@
 
 @dataclass(slots=True)
 class _Copy:
-    output: PartialText
+    output: PartialOutput
     updated_at: float
 
 
@@ -242,7 +242,7 @@
         """Set the handler of updates handed to this coordinator; it returns the wanted items."""
         self._handover_handler = handler
 
-    def hold(self, epoch: int, item_id: str, output: PartialText) -> None:
+    def hold(self, epoch: int, item_id: str, output: PartialOutput) -> None:
         """Keep an output that this node has read itself, for the coordinator of a later term."""
         if epoch < self._epoch:
             return
@@ -254,7 +254,7 @@
             self._copies[item_id] = _Copy(output, steady_seconds())
             self._evict()
 
-    def fresh(self) -> dict[str, PartialText]:
+    def fresh(self) -> dict[str, PartialOutput]:
         """Return the outputs updated within the retention period; callers must not modify them."""
         oldest = steady_seconds() - RETENTION_SECONDS
         return {
@@ -263,7 +263,7 @@
             if copy.updated_at >= oldest
         }
 
-    def take(self) -> dict[str, PartialText]:
+    def take(self) -> dict[str, PartialOutput]:
         """Return the outputs updated within the retention period and remove all copies."""
         outputs = {
             item_id: _with_own_generation(output) for item_id, output in self.fresh().items()
@@ -322,7 +322,7 @@
             return True
         copy = self._copies.get(update.item_id)
         if update.first_piece == 0:
-            copy = _Copy(PartialText(generation=update.generation), 0.0)
+            copy = _Copy(PartialOutput(generation=update.generation), 0.0)
             self._copies[update.item_id] = copy
         elif copy is None or not _continues(copy.output, update):
             return False
@@ -341,11 +341,11 @@
             self._copies.pop(next(iter(self._copies)))
 
 
-def _continues(output: PartialText, update: TextUpdate) -> bool:
+def _continues(output: PartialOutput, update: TextUpdate) -> bool:
     """Return whether an update starts exactly where a copy ends."""
     return output.generation == update.generation and len(output.pieces) == update.first_piece
 
 
-def _with_own_generation(output: PartialText) -> PartialText:
+def _with_own_generation(output: PartialOutput) -> PartialOutput:
     """Return a copy of an output with a new generation number of this process."""
-    return PartialText(output.pieces, output.last_event_id, output.versions, output.whole)
+    return PartialOutput(output.pieces, output.last_event_id, output.versions, output.whole)
--- a/src/runkeel/runners/hosted_run.py
+++ b/src/runkeel/runners/hosted_run.py
@@ -10,7 +10,7 @@
 from runkeel.api.jobs import ScorerCall
 from runkeel.clock import steady_seconds
 from runkeel.gateway.backends import BackendState
-from runkeel.jobs.generation_run import GenerationRun, PartialText, RunOutcome
+from runkeel.jobs.generation_run import GenerationRun, PartialOutput, RunOutcome
 from runkeel.jobs.scorer import Scorer, ScoringFailedError, ScoringUnfinishedError
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.wire.generated.jobs.ttypes import ItemRunStart, ItemRunUpdate
@@ -41,7 +41,7 @@
         self._scorer = scorer
         self._on_ended = on_ended
         self._deadline = steady_seconds() + message.remaining_ms / 1000.0
-        self._output = PartialText([], message.resume_after or None, list(message.versions))
+        self._output = PartialOutput([], message.resume_after or None, list(message.versions))
         request = _request(message)
         self._quarantine_watch = quarantine.watch(
             lambda: quarantine.fingerprints.of_generation(request),
@@ -72,7 +72,7 @@
         return self._quarantine_watch.held and not self._quarantine_watch.on_trial
 
     @property
-    def output_from_start(self) -> PartialText | None:
+    def output_from_start(self) -> PartialOutput | None:
         """The output from its first piece on; None if empty, or if this run resumed another."""
         return self._output if not self._message.resume_after and self._output.pieces else None
 
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -14,7 +14,7 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway.backends import BackendDirectory, BackendState
 from runkeel.gateway.indexed_set import IndexedSet
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 from runkeel.metrics import RUNNERS
 from runkeel.runners.lease import (
     DEMAND_RETENTION_SECONDS,
@@ -173,7 +173,7 @@
         self,
         runner: Runner,
         start: ItemRunStart,
-        partial: PartialText,
+        partial: PartialOutput,
         loading: Callable[[], bool],
     ) -> RemoteRun:
         """Return a run at a runner; fills in the shard, epoch, session and run id of the start."""
--- a/src/runkeel/runners/remote_run.py
+++ b/src/runkeel/runners/remote_run.py
@@ -8,7 +8,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.jobs.generation_run import PartialText, RunOutcome
+from runkeel.jobs.generation_run import PartialOutput, RunOutcome
 from runkeel.runners.hosted_run import SCORING_FAILED
 from runkeel.runners.lease import LOST_SECONDS
 from runkeel.wire.generated.jobs.ttypes import ItemRunStart, ItemRunStartReply, ItemRunUpdate
@@ -37,7 +37,7 @@
     def __init__(
         self,
         start: ItemRunStart,
-        partial: PartialText,
+        partial: PartialOutput,
         loading: Callable[[], bool],
         send_start: Callable[[ItemRunStart], ItemRunStartReply],
         request_end: Callable[[str], None],
--- a/src/runkeel/runners/service.py
+++ b/src/runkeel/runners/service.py
@@ -18,7 +18,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 from runkeel.gateway.backends import BackendDirectory
-from runkeel.jobs.generation_run import PartialText, RunOutcome
+from runkeel.jobs.generation_run import PartialOutput, RunOutcome
 from runkeel.jobs.scorer import Scorer
 from runkeel.metrics import HOSTED_RUNS
 from runkeel.quarantine.quarantine import Quarantine
@@ -71,7 +71,7 @@
         quarantine: Quarantine,
         known_epoch: Callable[[], int],
         on_coordinator: Callable[[NodeAddress, int], None],
-        keep_output: Callable[[int, str, PartialText], None] = lambda epoch, item, output: None,
+        keep_output: Callable[[int, str, PartialOutput], None] = lambda epoch, item, output: None,
         loop_lag_seconds: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._network = network
--- a/tests/jobs/test_expiry.py
+++ b/tests/jobs/test_expiry.py
@@ -14,7 +14,7 @@
 from runkeel.gateway.routing import RoutingTable
 from runkeel.jobs.engine_placement import EnginePlacement
 from runkeel.jobs.expiry import MAX_CLOCK_SKEW_SECONDS, expires_at
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.job_state import JobState
 from runkeel.jobs.scheduler import Scheduler
 from runkeel.jobs.scorer import ScoringUnfinishedError
@@ -79,7 +79,7 @@
         )
         self.addCleanup(scheduler.stop)
         job = self.job(seconds_ago)
-        scheduler.keep_texts({job.items[0].item_id: PartialText(["x"], "1", [1], True)})
+        scheduler.keep_texts({job.items[0].item_id: PartialOutput(["x"], "1", [1], True)})
         state = JobState(job)
         scheduler.start()
         scheduler.add(state)
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -21,7 +21,7 @@
 from runkeel.gateway.backends import REFUSAL_PAUSE_SECONDS, BackendDirectory
 from runkeel.gateway.routing import RoutingTable
 from runkeel.jobs.engine_placement import EnginePlacement
-from runkeel.jobs.generation_run import PartialText, RunOutcome
+from runkeel.jobs.generation_run import PartialOutput, RunOutcome
 from runkeel.jobs.item_task import ItemTask
 from runkeel.jobs.job_state import JobState
 from runkeel.jobs.scheduler import (
@@ -111,21 +111,21 @@
         item_id = f"{JOB_ID}-0"
         self.assertTrue(self.scheduler.lacks_text(item_id, (1, 2)))
         self.scheduler.add(self.state)
-        self.scheduler.adopt_text(item_id, PartialText(["x", "y"], "2", [1]))
-        self.scheduler.adopt_text(item_id, PartialText(["z"], "1", [1]))
+        self.scheduler.adopt_text(item_id, PartialOutput(["x", "y"], "2", [1]))
+        self.scheduler.adopt_text(item_id, PartialOutput(["z"], "1", [1]))
         self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x", "y"])
         self.assertFalse(self.scheduler.lacks_text(item_id, (1, 2)))
 
     def test_output_of_a_version_that_the_job_does_not_accept_is_ignored(self):
         self.scheduler.add(self.state)
-        self.scheduler.adopt_text(f"{JOB_ID}-0", PartialText(["x"], "1", [0]))
+        self.scheduler.adopt_text(f"{JOB_ID}-0", PartialOutput(["x"], "1", [0]))
         self.assertEqual(self.scheduler.open_texts(), {})
 
     def test_longer_output_of_older_weights_does_not_replace_a_newer_one(self):
         """Guards against restarting an item because a stale copy of its output is longer."""
         item_id = f"{JOB_ID}-0"
-        self.scheduler.keep_texts({item_id: PartialText(["x"], "1", [1])})
-        stale = PartialText(["a", "b", "c"], "3", [0], True)
+        self.scheduler.keep_texts({item_id: PartialOutput(["x"], "1", [1])})
+        stale = PartialOutput(["a", "b", "c"], "3", [0], True)
         self.assertFalse(self.scheduler.lacks_text(item_id, stale.precedence))
         self.scheduler.adopt_text(item_id, stale)
         self.scheduler.add(self.state)
@@ -140,9 +140,9 @@
         gevent.sleep(0.01)
         item_id = f"{JOB_ID}-0"
         task = self.scheduler._running.of_item(item_id)
-        near = PartialText(["x"] * (MIN_EVENTS_AHEAD - 1), "7", [1])
+        near = PartialOutput(["x"] * (MIN_EVENTS_AHEAD - 1), "7", [1])
         self.assertFalse(self.scheduler.lacks_text(item_id, near.precedence))
-        far = PartialText(["x"] * MIN_EVENTS_AHEAD, "8", [1])
+        far = PartialOutput(["x"] * MIN_EVENTS_AHEAD, "8", [1])
         self.assertTrue(self.scheduler.lacks_text(item_id, far.precedence))
         with mock.patch.object(task, "run") as run:
             self.scheduler.adopt_text(item_id, far)
@@ -163,7 +163,7 @@
         self.assertFalse(self.scheduler.lacks_text(f"{JOB_ID}-0", (1, 50)))
 
     def test_output_that_arrives_before_its_job_is_used(self):
-        self.scheduler.adopt_text(f"{JOB_ID}-1", PartialText(["x"], "1", [1]))
+        self.scheduler.adopt_text(f"{JOB_ID}-1", PartialOutput(["x"], "1", [1]))
         self.scheduler.add(self.state)
         self.assertEqual(list(self.scheduler.open_texts()), [f"{JOB_ID}-1"])
 
@@ -175,7 +175,7 @@
         self.assertTrue(self.scheduler.lacks_text(f"{JOB_ID}-0", (1, 2)))
 
     def test_output_of_a_finished_item_is_open_until_its_result_is_listed(self):
-        task = ItemTask(self.state, self.state.job.items[0], PartialText(["x"], "1", [1], True))
+        task = ItemTask(self.state, self.state.job.items[0], PartialOutput(["x"], "1", [1], True))
         result = ItemResult(f"{JOB_ID}-0", ResultState.COMPLETED, "x", (1,), "score")
         self.scheduler._finish(task, result)
         self.assertEqual(list(self.scheduler.open_texts()), [f"{JOB_ID}-0"])
@@ -241,7 +241,7 @@
         self.assertIs(task.partial, output)
 
     def test_output_of_older_weights_is_not_resumed(self):
-        old = PartialText(["x"], "1", [0])
+        old = PartialOutput(["x"], "1", [0])
         self.scheduler.keep_texts({f"{JOB_ID}-0": old})
         self.scheduler.add(self.state)
         self.assertEqual(self.scheduler._queue.of_item(f"{JOB_ID}-0").partial.pieces, [])
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_text_journal.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from runkeel.jobs import text_journal, text_replication
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_journal import TextJournal
 from runkeel.jobs.text_replication import RETENTION_SECONDS, TextCopies, TextSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
@@ -35,7 +35,7 @@
         return sorted(path.name for path in self.folder.iterdir())
 
     def _make_output(self, pieces, versions=(1,)):
-        return PartialText([f"p{n}" for n in range(pieces)], str(pieces), list(versions))
+        return PartialOutput([f"p{n}" for n in range(pieces)], str(pieces), list(versions))
 
     def _grow(self, output):
         output.pieces.append(f"p{len(output.pieces)}")
@@ -99,7 +99,7 @@
         """Guards against a record too large to encode, which ends the writer's task."""
         sender, _ = self._process()
         piece = "x" * (text_replication.MAX_MESSAGE_BYTES // 2)
-        self.outputs = {f"t{n}": PartialText([piece], "1", [1]) for n in range(40)}
+        self.outputs = {f"t{n}": PartialOutput([piece], "1", [1]) for n in range(40)}
         sender.send_once()
         self.assertEqual(sorted(self._process(epoch=2)[1]), sorted(self.outputs))
 
--- a/tests/jobs/test_text_replication.py
+++ b/tests/jobs/test_text_replication.py
@@ -4,14 +4,14 @@
 from unittest import mock
 
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_replication import MAX_MESSAGE_BYTES, TextCopies, TextSender
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
 def make_output(*pieces, versions=(1,), whole=False):
-    return PartialText(list(pieces), str(len(pieces)), list(versions), whole)
+    return PartialOutput(list(pieces), str(len(pieces)), list(versions), whole)
 
 
 class TextReplicationTest(unittest.TestCase):
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/text_machine.py
@@ -15,7 +15,7 @@
 
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs import text_journal
-from runkeel.jobs.generation_run import PartialText
+from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_journal import TextJournal
 from runkeel.jobs.text_replication import TextCopies, TextSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
@@ -120,7 +120,7 @@
     def grow(self, item, growth):
         """An item produces events; it starts if it is not running."""
         self.listed.discard(item)
-        output = self.outputs.setdefault(item, PartialText())
+        output = self.outputs.setdefault(item, PartialOutput())
         if not output.pieces:
             self.runs += 1
         for _ in range(growth):
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -9,7 +9,7 @@
 from runkeel.api.machines import Address
 from runkeel.clock import steady_seconds
 from runkeel.gateway.backends import BackendDirectory
-from runkeel.jobs.generation_run import PartialText, RunOutcome
+from runkeel.jobs.generation_run import PartialOutput, RunOutcome
 from runkeel.runners import lease, pool, remote_run, service
 from runkeel.runners.pool import RunnerPool
 from runkeel.runners.service import RunnerService
@@ -50,7 +50,7 @@
 
     @property
     def output_from_start(self):
-        return PartialText(self.pieces, "1", [1])
+        return PartialOutput(self.pieces, "1", [1])
 
     def start(self):
         self.has_update = True
@@ -155,7 +155,7 @@
             minimum_version=1,
             single_version=False,
         )
-        return self.pool.new_run(self._joined(), start, PartialText(), lambda: False)
+        return self.pool.new_run(self._joined(), start, PartialOutput(), lambda: False)
 
     def _begin(self):
         """Start a run; returns it and the greenlet that waits for its end."""
@@ -274,7 +274,7 @@
 class RemoteRunTest(unittest.TestCase):
     def setUp(self):
         self.unwanted = []
-        self.partial = PartialText()
+        self.partial = PartialOutput()
         start = ItemRunStart(run_id="1.1", backend_id="e")
         self.run = remote_run.RemoteRun(
             start, self.partial, lambda: False, lambda message: None, self.unwanted.append
