--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -46,7 +46,7 @@
 from runkeel.jobs.service import JobService
 from runkeel.jobs.text_hand_over import TextHandOver
 from runkeel.jobs.text_journal import TextJournal
-from runkeel.jobs.text_replication import TextCopies
+from runkeel.jobs.text_replication import PartialOutputCopies
 from runkeel.lateness import LoopLagMonitor
 from runkeel.quarantine.service import QuarantineService
 from runkeel.runners.service import RunnerService
@@ -249,7 +249,7 @@
             settings.first_start,
         )
         self._journal = TextJournal(folder / PARTIAL_OUTPUT_FOLDER) if folder is not None else None
-        self._output_copies = TextCopies(self._network, self._journal)
+        self._output_copies = PartialOutputCopies(self._network, self._journal)
         self._job_copies = JobCopyKeeper(self._network)
         self._output_handover = TextHandOver(
             self._network,
--- a/src/runkeel/jobs/text_replication.py
+++ b/src/runkeel/jobs/text_replication.py
@@ -217,7 +217,7 @@
     updated_at: float
 
 
-class TextCopies:
+class PartialOutputCopies:
     """A node's copies of partial outputs; receives updates at any time.
 
     Args:
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_text_journal.py
@@ -9,7 +9,7 @@
 from runkeel.jobs import text_journal, text_replication
 from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_journal import TextJournal
-from runkeel.jobs.text_replication import RETENTION_SECONDS, TextCopies, TextSender
+from runkeel.jobs.text_replication import RETENTION_SECONDS, PartialOutputCopies, TextSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
@@ -25,7 +25,7 @@
         """Start a coordinator's process; returns its sender and the outputs restored from disk."""
         journal = TextJournal(self.folder, max_file_bytes)
         self.addCleanup(journal.close)
-        found = TextCopies(self.network.node("a"), journal).take()
+        found = PartialOutputCopies(self.network.node("a"), journal).take()
         sender = TextSender(
             self.network.node("a"), "fleet", epoch, lambda: self.outputs, lambda: [], journal
         )
@@ -141,11 +141,11 @@
     def test_successor_journals_received_updates(self):
         journal = TextJournal(self.folder)
         self.addCleanup(journal.close)
-        copies = TextCopies(self.network.node("b"), journal)
+        copies = PartialOutputCopies(self.network.node("b"), journal)
         sender = TextSender(self.network.node("a"), "fleet", 4, lambda: self.outputs, lambda: ["b"])
         self.outputs["i"] = self._make_output(2)
         self._write_steps(sender, 2)
-        restarted = TextCopies(self.network.node("b"), TextJournal(self.folder))
+        restarted = PartialOutputCopies(self.network.node("b"), TextJournal(self.folder))
         self.assertEqual(restarted.epoch, 4)
         self.assertEqual(restarted.take()["i"].pieces, copies.take()["i"].pieces)
 
--- a/tests/jobs/test_text_replication.py
+++ b/tests/jobs/test_text_replication.py
@@ -5,7 +5,7 @@
 
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_replication import MAX_MESSAGE_BYTES, TextCopies, TextSender
+from runkeel.jobs.text_replication import MAX_MESSAGE_BYTES, PartialOutputCopies, TextSender
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
@@ -17,7 +17,7 @@
 class TextReplicationTest(unittest.TestCase):
     def setUp(self):
         self.network = MemoryNetwork()
-        self.copies = TextCopies(self.network.node("b"))
+        self.copies = PartialOutputCopies(self.network.node("b"))
         self.outputs = {}
         self.finished = set()
         self.successors = ["b"]
@@ -108,7 +108,7 @@
     def test_restarted_successor_requests_the_full_output(self):
         output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
-        self.copies = TextCopies(self.network.node("b"))
+        self.copies = PartialOutputCopies(self.network.node("b"))
         output.pieces.append("y")
         self.sender.send_once()
         self.assertEqual(self.copies.take(), {})
@@ -116,7 +116,7 @@
         self.assertEqual(self.copies.take()["i"].pieces, ["x", "y"])
 
     def test_new_successor_gets_full_outputs(self):
-        other = TextCopies(self.network.node("c"))
+        other = PartialOutputCopies(self.network.node("c"))
         self.outputs["i"] = make_output("x", "y")
         self.sender.send_once()
         self.successors = ["b", "c"]
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/text_machine.py
@@ -17,7 +17,7 @@
 from runkeel.jobs import text_journal
 from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_journal import TextJournal
-from runkeel.jobs.text_replication import TextCopies, TextSender
+from runkeel.jobs.text_replication import PartialOutputCopies, TextSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 ITEMS = 1
@@ -80,7 +80,7 @@
         if name in self.journals:
             self.journals[name].close()
         self.journals[name] = TextJournal(self.folder / name, JOURNAL_BYTES)
-        return TextCopies(self.network.node(name), self.journals[name])
+        return PartialOutputCopies(self.network.node(name), self.journals[name])
 
     def _new_sender(self, name):
         self.coordinator = name
