--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -26,7 +26,7 @@
 from runkeel.jobs.scheduler import Scheduler
 from runkeel.jobs.scorer import Scorer
 from runkeel.jobs.text_journal import TextJournal
-from runkeel.jobs.text_replication import TextSender
+from runkeel.jobs.text_replication import PartialOutputSender
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.runners.lease import LOCAL_RUNS, LOST_SECONDS
 from runkeel.runners.pool import RunnerPool
@@ -131,7 +131,7 @@
             self.runners,
         )
         self.scheduler.keep_texts(partial_outputs)
-        self._output_sender = TextSender(
+        self._output_sender = PartialOutputSender(
             dependencies.network,
             dependencies.shard,
             epoch,
--- a/src/runkeel/jobs/text_replication.py
+++ b/src/runkeel/jobs/text_replication.py
@@ -51,7 +51,7 @@
     whole: bool
 
 
-class TextSender:
+class PartialOutputSender:
     """Sends the partial outputs of one term to successors and to this node's journal.
 
     Args:
--- a/tests/jobs/test_text_hand_over.py
+++ b/tests/jobs/test_text_hand_over.py
@@ -6,7 +6,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.jobs.text_hand_over import TextHandOver
-from runkeel.jobs.text_replication import PartialOutputCopies, TextSender
+from runkeel.jobs.text_replication import PartialOutputCopies, PartialOutputSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
 from tests.jobs.test_text_replication import make_output
 
@@ -36,7 +36,7 @@
         self.keeper = self._node("edge", lambda: None)
         self._node("next", lambda: self.receiver)
         outputs = {name: make_output("x", "y", versions=(1, 2)) for name in ("i", "j", "k")}
-        TextSender(
+        PartialOutputSender(
             self.network.node("first"), "fleet", 3, lambda: outputs, lambda: ["edge"]
         ).send_once()
 
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_text_journal.py
@@ -9,7 +9,11 @@
 from runkeel.jobs import text_journal, text_replication
 from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_journal import TextJournal
-from runkeel.jobs.text_replication import RETENTION_SECONDS, PartialOutputCopies, TextSender
+from runkeel.jobs.text_replication import (
+    RETENTION_SECONDS,
+    PartialOutputCopies,
+    PartialOutputSender,
+)
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
@@ -26,7 +30,7 @@
         journal = TextJournal(self.folder, max_file_bytes)
         self.addCleanup(journal.close)
         found = PartialOutputCopies(self.network.node("a"), journal).take()
-        sender = TextSender(
+        sender = PartialOutputSender(
             self.network.node("a"), "fleet", epoch, lambda: self.outputs, lambda: [], journal
         )
         return sender, found
@@ -142,7 +146,9 @@
         journal = TextJournal(self.folder)
         self.addCleanup(journal.close)
         copies = PartialOutputCopies(self.network.node("b"), journal)
-        sender = TextSender(self.network.node("a"), "fleet", 4, lambda: self.outputs, lambda: ["b"])
+        sender = PartialOutputSender(
+            self.network.node("a"), "fleet", 4, lambda: self.outputs, lambda: ["b"]
+        )
         self.outputs["i"] = self._make_output(2)
         self._write_steps(sender, 2)
         restarted = PartialOutputCopies(self.network.node("b"), TextJournal(self.folder))
--- a/tests/jobs/test_text_replication.py
+++ b/tests/jobs/test_text_replication.py
@@ -5,7 +5,11 @@
 
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_replication import MAX_MESSAGE_BYTES, PartialOutputCopies, TextSender
+from runkeel.jobs.text_replication import (
+    MAX_MESSAGE_BYTES,
+    PartialOutputCopies,
+    PartialOutputSender,
+)
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
@@ -24,7 +28,7 @@
         self.sender = self._sender(1)
 
     def _sender(self, epoch):
-        return TextSender(
+        return PartialOutputSender(
             self.network.node("a"),
             "fleet",
             epoch,
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/text_machine.py
@@ -17,7 +17,7 @@
 from runkeel.jobs import text_journal
 from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.text_journal import TextJournal
-from runkeel.jobs.text_replication import PartialOutputCopies, TextSender
+from runkeel.jobs.text_replication import PartialOutputCopies, PartialOutputSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 ITEMS = 1
@@ -86,7 +86,7 @@
         self.coordinator = name
         self.other = "b" if name == "a" else "a"
         self.link = _LossyNode(self.network.node(name))
-        return TextSender(
+        return PartialOutputSender(
             self.link,
             "fleet",
             self.epoch,
