--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -25,7 +25,7 @@
 from runkeel.jobs.job_documents import EncodedJob
 from runkeel.jobs.scheduler import Scheduler
 from runkeel.jobs.scorer import Scorer
-from runkeel.jobs.text_journal import TextJournal
+from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel.jobs.text_replication import PartialOutputSender
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.runners.lease import LOCAL_RUNS, LOST_SECONDS
@@ -78,7 +78,7 @@
     quarantine: Quarantine
     lease: OrderLease
     election: Election
-    journal: TextJournal | None
+    journal: PartialOutputJournal | None
     leave: Callable[[], None]
     usage: UsageDependencies | None
 
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -45,7 +45,7 @@
 from runkeel.jobs.scorer import Scorer
 from runkeel.jobs.service import JobService
 from runkeel.jobs.text_hand_over import TextHandOver
-from runkeel.jobs.text_journal import TextJournal
+from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel.jobs.text_replication import PartialOutputCopies
 from runkeel.lateness import LoopLagMonitor
 from runkeel.quarantine.service import QuarantineService
@@ -248,7 +248,9 @@
             self._on_job_handed_over,
             settings.first_start,
         )
-        self._journal = TextJournal(folder / PARTIAL_OUTPUT_FOLDER) if folder is not None else None
+        self._journal = (
+            PartialOutputJournal(folder / PARTIAL_OUTPUT_FOLDER) if folder is not None else None
+        )
         self._output_copies = PartialOutputCopies(self._network, self._journal)
         self._job_copies = JobCopyKeeper(self._network)
         self._output_handover = TextHandOver(
--- a/src/runkeel/jobs/text_journal.py
+++ b/src/runkeel/jobs/text_journal.py
@@ -57,7 +57,7 @@
     age_seconds: float
 
 
-class TextJournal:
+class PartialOutputJournal:
     """The journal in one folder, written by a single process.
 
     Writes run in gevent's thread pool, so that a slow disk does not block the event loop.
--- a/src/runkeel/jobs/text_replication.py
+++ b/src/runkeel/jobs/text_replication.py
@@ -18,7 +18,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_journal import JournalRecord, TextJournal
+from runkeel.jobs.text_journal import JournalRecord, PartialOutputJournal
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import TextReplication, TextReplicationReply, TextUpdate
 from runkeel.wire.network import PeerNetwork
@@ -68,7 +68,7 @@
         epoch: int,
         outputs: Callable[[], dict[str, PartialOutput]],
         successors: Callable[[], list[str]],
-        journal: TextJournal | None = None,
+        journal: PartialOutputJournal | None = None,
         finished: Callable[[str], bool] = lambda item_id: False,
     ) -> None:
         self._finished = finished
@@ -224,7 +224,7 @@
         journal: this node's own; None if it has no disk. Copies are restored from it.
     """
 
-    def __init__(self, network: PeerNetwork, journal: TextJournal | None = None) -> None:
+    def __init__(self, network: PeerNetwork, journal: PartialOutputJournal | None = None) -> None:
         self._copies: dict[str, _Copy] = {}
         self._epoch = 0
         self._journal = journal
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_text_journal.py
@@ -8,7 +8,7 @@
 
 from runkeel.jobs import text_journal, text_replication
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_journal import TextJournal
+from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel.jobs.text_replication import (
     RETENTION_SECONDS,
     PartialOutputCopies,
@@ -27,7 +27,7 @@
 
     def _process(self, epoch=1, max_file_bytes=1_000_000):
         """Start a coordinator's process; returns its sender and the outputs restored from disk."""
-        journal = TextJournal(self.folder, max_file_bytes)
+        journal = PartialOutputJournal(self.folder, max_file_bytes)
         self.addCleanup(journal.close)
         found = PartialOutputCopies(self.network.node("a"), journal).take()
         sender = PartialOutputSender(
@@ -143,7 +143,7 @@
         self.assertEqual(found, {})
 
     def test_successor_journals_received_updates(self):
-        journal = TextJournal(self.folder)
+        journal = PartialOutputJournal(self.folder)
         self.addCleanup(journal.close)
         copies = PartialOutputCopies(self.network.node("b"), journal)
         sender = PartialOutputSender(
@@ -151,7 +151,7 @@
         )
         self.outputs["i"] = self._make_output(2)
         self._write_steps(sender, 2)
-        restarted = PartialOutputCopies(self.network.node("b"), TextJournal(self.folder))
+        restarted = PartialOutputCopies(self.network.node("b"), PartialOutputJournal(self.folder))
         self.assertEqual(restarted.epoch, 4)
         self.assertEqual(restarted.take()["i"].pieces, copies.take()["i"].pieces)
 
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/text_machine.py
@@ -16,7 +16,7 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs import text_journal
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_journal import TextJournal
+from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel.jobs.text_replication import PartialOutputCopies, PartialOutputSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
@@ -79,7 +79,7 @@
     def _restored(self, name):
         if name in self.journals:
             self.journals[name].close()
-        self.journals[name] = TextJournal(self.folder / name, JOURNAL_BYTES)
+        self.journals[name] = PartialOutputJournal(self.folder / name, JOURNAL_BYTES)
         return PartialOutputCopies(self.network.node(name), self.journals[name])
 
     def _new_sender(self, name):
