--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -44,7 +44,7 @@
 from runkeel.jobs.job_state import JobState
 from runkeel.jobs.scorer import Scorer
 from runkeel.jobs.service import JobService
-from runkeel.jobs.text_hand_over import TextHandOver
+from runkeel.jobs.text_hand_over import PartialOutputHandover
 from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel.jobs.text_replication import PartialOutputCopies
 from runkeel.lateness import LoopLagMonitor
@@ -253,7 +253,7 @@
         )
         self._output_copies = PartialOutputCopies(self._network, self._journal)
         self._job_copies = JobCopyKeeper(self._network)
-        self._output_handover = TextHandOver(
+        self._output_handover = PartialOutputHandover(
             self._network,
             SHARD,
             self._output_copies,
--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -43,7 +43,7 @@
         """Let an item that has not started continue from an output."""
 
 
-class TextHandOver:
+class PartialOutputHandover:
     """Both sides of the handover: offers copies, and receives them while coordinating.
 
     Args:
--- a/tests/jobs/test_text_hand_over.py
+++ b/tests/jobs/test_text_hand_over.py
@@ -5,7 +5,7 @@
 import gevent
 
 from runkeel.clock import steady_seconds
-from runkeel.jobs.text_hand_over import TextHandOver
+from runkeel.jobs.text_hand_over import PartialOutputHandover
 from runkeel.jobs.text_replication import PartialOutputCopies, PartialOutputSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
 from tests.jobs.test_text_replication import make_output
@@ -42,7 +42,7 @@
 
     def _node(self, name, receiver):
         peers = self.network.node(name)
-        return TextHandOver(peers, "fleet", PartialOutputCopies(peers), receiver)
+        return PartialOutputHandover(peers, "fleet", PartialOutputCopies(peers), receiver)
 
     def _wait(self, condition):
         deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
