--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -33,7 +33,7 @@
 """Bound on the outputs that are sent in one message."""
 
 
-class TextReceiver(Protocol):
+class PartialOutputReceiver(Protocol):
     """The part of a coordinator's scheduler that receives partial outputs."""
 
     def lacks_text(self, item_id: str, precedence: tuple[int, int]) -> bool:
@@ -55,7 +55,7 @@
         network: PeerNetwork,
         shard: str,
         copies: PartialOutputCopies,
-        receiver: Callable[[], TextReceiver | None],
+        receiver: Callable[[], PartialOutputReceiver | None],
     ) -> None:
         self._network = network
         self._shard = shard
