--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -126,7 +126,7 @@
         for item_id, output in outputs.items():
             self._retained.keep(item_id, output)
 
-    def lacks_text(self, item_id: str, precedence: tuple[int, int]) -> bool:
+    def needs_output(self, item_id: str, precedence: tuple[int, int]) -> bool:
         """Return whether an item should continue from a partial output of this precedence."""
         running = self._running.of_item(item_id)
         if running is not None:
@@ -139,7 +139,7 @@
 
     def adopt_text(self, item_id: str, text: PartialOutput) -> None:
         """Continue an item from a better partial output, if its job accepts the versions."""
-        if not self.lacks_text(item_id, text.precedence):
+        if not self.needs_output(item_id, text.precedence):
             return
         running = self._running.of_item(item_id)
         if running is not None:
--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -36,7 +36,7 @@
 class PartialOutputReceiver(Protocol):
     """The part of a coordinator's scheduler that receives partial outputs."""
 
-    def lacks_text(self, item_id: str, precedence: tuple[int, int]) -> bool:
+    def needs_output(self, item_id: str, precedence: tuple[int, int]) -> bool:
         """Return whether an item would continue from an output of this precedence."""
 
     def adopt_text(self, item_id: str, text: PartialOutput) -> None:
@@ -139,7 +139,7 @@
         for update in updates:
             if update.first_piece:
                 offered = min(update.versions, default=0), update.first_piece
-                if receiver.lacks_text(update.item_id, offered):
+                if receiver.needs_output(update.item_id, offered):
                     wanted.append(update.item_id)
                 continue
             receiver.adopt_text(update.item_id, _decode_output(update))
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -109,12 +109,12 @@
 
     def test_queued_item_resumes_from_the_longer_output(self):
         item_id = f"{JOB_ID}-0"
-        self.assertTrue(self.scheduler.lacks_text(item_id, (1, 2)))
+        self.assertTrue(self.scheduler.needs_output(item_id, (1, 2)))
         self.scheduler.add(self.state)
         self.scheduler.adopt_text(item_id, PartialOutput(["x", "y"], "2", [1]))
         self.scheduler.adopt_text(item_id, PartialOutput(["z"], "1", [1]))
         self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x", "y"])
-        self.assertFalse(self.scheduler.lacks_text(item_id, (1, 2)))
+        self.assertFalse(self.scheduler.needs_output(item_id, (1, 2)))
 
     def test_output_of_a_version_that_the_job_does_not_accept_is_ignored(self):
         self.scheduler.add(self.state)
@@ -126,7 +126,7 @@
         item_id = f"{JOB_ID}-0"
         self.scheduler.keep_texts({item_id: PartialOutput(["x"], "1", [1])})
         stale = PartialOutput(["a", "b", "c"], "3", [0], True)
-        self.assertFalse(self.scheduler.lacks_text(item_id, stale.precedence))
+        self.assertFalse(self.scheduler.needs_output(item_id, stale.precedence))
         self.scheduler.adopt_text(item_id, stale)
         self.scheduler.add(self.state)
         self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x"])
@@ -141,13 +141,13 @@
         item_id = f"{JOB_ID}-0"
         task = self.scheduler._running.of_item(item_id)
         near = PartialOutput(["x"] * (MIN_EVENTS_AHEAD - 1), "7", [1])
-        self.assertFalse(self.scheduler.lacks_text(item_id, near.precedence))
+        self.assertFalse(self.scheduler.needs_output(item_id, near.precedence))
         far = PartialOutput(["x"] * MIN_EVENTS_AHEAD, "8", [1])
-        self.assertTrue(self.scheduler.lacks_text(item_id, far.precedence))
+        self.assertTrue(self.scheduler.needs_output(item_id, far.precedence))
         with mock.patch.object(task, "run") as run:
             self.scheduler.adopt_text(item_id, far)
             run.move_away.assert_called_once_with()
-            self.assertFalse(self.scheduler.lacks_text(item_id, far.precedence))
+            self.assertFalse(self.scheduler.needs_output(item_id, far.precedence))
         self.scheduler._handle_incomplete_run(task, self.scheduler._route(task), RunOutcome.MOVED)
         self.assertIs(self.scheduler._queue.of_item(item_id).partial, far)
 
@@ -160,7 +160,7 @@
         task = self.scheduler._running.of_item(f"{JOB_ID}-0")
         task.partial.pieces.append("x")
         task.partial.versions.append(2)
-        self.assertFalse(self.scheduler.lacks_text(f"{JOB_ID}-0", (1, 50)))
+        self.assertFalse(self.scheduler.needs_output(f"{JOB_ID}-0", (1, 50)))
 
     def test_output_that_arrives_before_its_job_is_used(self):
         self.scheduler.adopt_text(f"{JOB_ID}-1", PartialOutput(["x"], "1", [1]))
@@ -168,11 +168,11 @@
         self.assertEqual(list(self.scheduler.open_texts()), [f"{JOB_ID}-1"])
 
     def test_output_of_an_unknown_item_is_accepted_only_after_the_start(self):
-        self.assertTrue(self.scheduler.lacks_text("other", (1, 2)))
+        self.assertTrue(self.scheduler.needs_output("other", (1, 2)))
         self.scheduler._created_at -= UNKNOWN_ITEM_GRACE_SECONDS
-        self.assertFalse(self.scheduler.lacks_text("other", (1, 2)))
+        self.assertFalse(self.scheduler.needs_output("other", (1, 2)))
         self.scheduler.add(self.state)
-        self.assertTrue(self.scheduler.lacks_text(f"{JOB_ID}-0", (1, 2)))
+        self.assertTrue(self.scheduler.needs_output(f"{JOB_ID}-0", (1, 2)))
 
     def test_output_of_a_finished_item_is_open_until_its_result_is_listed(self):
         task = ItemTask(self.state, self.state.job.items[0], PartialOutput(["x"], "1", [1], True))
--- a/tests/jobs/test_text_hand_over.py
+++ b/tests/jobs/test_text_hand_over.py
@@ -21,7 +21,7 @@
         self.adopted = {}
         self.offered = {}
 
-    def lacks_text(self, item_id, precedence):
+    def needs_output(self, item_id, precedence):
         self.offered[item_id] = precedence
         return item_id in self.wanted
 
