--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -137,7 +137,7 @@
         known = task.partial if task is not None else self._retained.get(item_id)
         return known is None or known.precedence < precedence
 
-    def adopt_text(self, item_id: str, text: PartialOutput) -> None:
+    def adopt_output(self, item_id: str, text: PartialOutput) -> None:
         """Continue an item from a better partial output, if its job accepts the versions."""
         if not self.needs_output(item_id, text.precedence):
             return
--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -39,7 +39,7 @@
     def needs_output(self, item_id: str, precedence: tuple[int, int]) -> bool:
         """Return whether an item would continue from an output of this precedence."""
 
-    def adopt_text(self, item_id: str, text: PartialOutput) -> None:
+    def adopt_output(self, item_id: str, text: PartialOutput) -> None:
         """Let an item that has not started continue from an output."""
 
 
@@ -142,7 +142,7 @@
                 if receiver.needs_output(update.item_id, offered):
                     wanted.append(update.item_id)
                 continue
-            receiver.adopt_text(update.item_id, _decode_output(update))
+            receiver.adopt_output(update.item_id, _decode_output(update))
         return wanted
 
 
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -111,14 +111,14 @@
         item_id = f"{JOB_ID}-0"
         self.assertTrue(self.scheduler.needs_output(item_id, (1, 2)))
         self.scheduler.add(self.state)
-        self.scheduler.adopt_text(item_id, PartialOutput(["x", "y"], "2", [1]))
-        self.scheduler.adopt_text(item_id, PartialOutput(["z"], "1", [1]))
+        self.scheduler.adopt_output(item_id, PartialOutput(["x", "y"], "2", [1]))
+        self.scheduler.adopt_output(item_id, PartialOutput(["z"], "1", [1]))
         self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x", "y"])
         self.assertFalse(self.scheduler.needs_output(item_id, (1, 2)))
 
     def test_output_of_a_version_that_the_job_does_not_accept_is_ignored(self):
         self.scheduler.add(self.state)
-        self.scheduler.adopt_text(f"{JOB_ID}-0", PartialOutput(["x"], "1", [0]))
+        self.scheduler.adopt_output(f"{JOB_ID}-0", PartialOutput(["x"], "1", [0]))
         self.assertEqual(self.scheduler.open_texts(), {})
 
     def test_longer_output_of_older_weights_does_not_replace_a_newer_one(self):
@@ -127,7 +127,7 @@
         self.scheduler.keep_texts({item_id: PartialOutput(["x"], "1", [1])})
         stale = PartialOutput(["a", "b", "c"], "3", [0], True)
         self.assertFalse(self.scheduler.needs_output(item_id, stale.precedence))
-        self.scheduler.adopt_text(item_id, stale)
+        self.scheduler.adopt_output(item_id, stale)
         self.scheduler.add(self.state)
         self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x"])
 
@@ -145,7 +145,7 @@
         far = PartialOutput(["x"] * MIN_EVENTS_AHEAD, "8", [1])
         self.assertTrue(self.scheduler.needs_output(item_id, far.precedence))
         with mock.patch.object(task, "run") as run:
-            self.scheduler.adopt_text(item_id, far)
+            self.scheduler.adopt_output(item_id, far)
             run.move_away.assert_called_once_with()
             self.assertFalse(self.scheduler.needs_output(item_id, far.precedence))
         self.scheduler._handle_incomplete_run(task, self.scheduler._route(task), RunOutcome.MOVED)
@@ -163,7 +163,7 @@
         self.assertFalse(self.scheduler.needs_output(f"{JOB_ID}-0", (1, 50)))
 
     def test_output_that_arrives_before_its_job_is_used(self):
-        self.scheduler.adopt_text(f"{JOB_ID}-1", PartialOutput(["x"], "1", [1]))
+        self.scheduler.adopt_output(f"{JOB_ID}-1", PartialOutput(["x"], "1", [1]))
         self.scheduler.add(self.state)
         self.assertEqual(list(self.scheduler.open_texts()), [f"{JOB_ID}-1"])
 
--- a/tests/jobs/test_text_hand_over.py
+++ b/tests/jobs/test_text_hand_over.py
@@ -25,7 +25,7 @@
         self.offered[item_id] = precedence
         return item_id in self.wanted
 
-    def adopt_text(self, item_id, output):
+    def adopt_output(self, item_id, output):
         self.adopted[item_id] = output
 
 
