--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -130,7 +130,7 @@
             dependencies.quarantine,
             self.runners,
         )
-        self.scheduler.keep_texts(partial_outputs)
+        self.scheduler.restore_outputs(partial_outputs)
         self._output_sender = PartialOutputSender(
             dependencies.network,
             dependencies.shard,
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -121,7 +121,7 @@
         self._queue.clear()
         self._running.clear()
 
-    def keep_texts(self, outputs: dict[str, PartialOutput]) -> None:
+    def restore_outputs(self, outputs: dict[str, PartialOutput]) -> None:
         """Store partial outputs of an earlier coordinator's runs, for jobs that are added later."""
         for item_id, output in outputs.items():
             self._retained.keep(item_id, output)
--- a/tests/jobs/test_expiry.py
+++ b/tests/jobs/test_expiry.py
@@ -79,7 +79,7 @@
         )
         self.addCleanup(scheduler.stop)
         job = self.job(seconds_ago)
-        scheduler.keep_texts({job.items[0].item_id: PartialOutput(["x"], "1", [1], True)})
+        scheduler.restore_outputs({job.items[0].item_id: PartialOutput(["x"], "1", [1], True)})
         state = JobState(job)
         scheduler.start()
         scheduler.add(state)
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -124,7 +124,7 @@
     def test_longer_output_of_older_weights_does_not_replace_a_newer_one(self):
         """Guards against restarting an item because a stale copy of its output is longer."""
         item_id = f"{JOB_ID}-0"
-        self.scheduler.keep_texts({item_id: PartialOutput(["x"], "1", [1])})
+        self.scheduler.restore_outputs({item_id: PartialOutput(["x"], "1", [1])})
         stale = PartialOutput(["a", "b", "c"], "3", [0], True)
         self.assertFalse(self.scheduler.needs_output(item_id, stale.precedence))
         self.scheduler.adopt_output(item_id, stale)
@@ -242,7 +242,7 @@
 
     def test_output_of_older_weights_is_not_resumed(self):
         old = PartialOutput(["x"], "1", [0])
-        self.scheduler.keep_texts({f"{JOB_ID}-0": old})
+        self.scheduler.restore_outputs({f"{JOB_ID}-0": old})
         self.scheduler.add(self.state)
         self.assertEqual(self.scheduler._queue.of_item(f"{JOB_ID}-0").partial.pieces, [])
 
