--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -135,7 +135,7 @@
             dependencies.network,
             dependencies.shard,
             epoch,
-            self.scheduler.open_texts,
+            self.scheduler.open_outputs,
             # Runners keep copies of the partial outputs of their own runs.
             lambda: dependencies.election.copy_holders(keepers=not self.runners.needed),
             dependencies.journal,
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -176,7 +176,7 @@
         if self._can_use(task, output):
             task.partial = output
 
-    def open_texts(self) -> dict[str, PartialOutput]:
+    def open_outputs(self) -> dict[str, PartialOutput]:
         """Return the partial outputs of all items whose results are not listed yet."""
         tasks = [*self._finished.unlisted(), *self._running, *self._queue.tasks()]
         return {task.item.item_id: task.partial for task in tasks if task.partial.pieces}
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -113,13 +113,13 @@
         self.scheduler.add(self.state)
         self.scheduler.adopt_output(item_id, PartialOutput(["x", "y"], "2", [1]))
         self.scheduler.adopt_output(item_id, PartialOutput(["z"], "1", [1]))
-        self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x", "y"])
+        self.assertEqual(self.scheduler.open_outputs()[item_id].pieces, ["x", "y"])
         self.assertFalse(self.scheduler.needs_output(item_id, (1, 2)))
 
     def test_output_of_a_version_that_the_job_does_not_accept_is_ignored(self):
         self.scheduler.add(self.state)
         self.scheduler.adopt_output(f"{JOB_ID}-0", PartialOutput(["x"], "1", [0]))
-        self.assertEqual(self.scheduler.open_texts(), {})
+        self.assertEqual(self.scheduler.open_outputs(), {})
 
     def test_longer_output_of_older_weights_does_not_replace_a_newer_one(self):
         """Guards against restarting an item because a stale copy of its output is longer."""
@@ -129,7 +129,7 @@
         self.assertFalse(self.scheduler.needs_output(item_id, stale.precedence))
         self.scheduler.adopt_output(item_id, stale)
         self.scheduler.add(self.state)
-        self.assertEqual(self.scheduler.open_texts()[item_id].pieces, ["x"])
+        self.assertEqual(self.scheduler.open_outputs()[item_id].pieces, ["x"])
 
     def test_running_item_resumes_from_an_output_that_is_far_ahead(self):
         """Partial outputs may arrive after their items have been restarted from the beginning."""
@@ -165,7 +165,7 @@
     def test_output_that_arrives_before_its_job_is_used(self):
         self.scheduler.adopt_output(f"{JOB_ID}-1", PartialOutput(["x"], "1", [1]))
         self.scheduler.add(self.state)
-        self.assertEqual(list(self.scheduler.open_texts()), [f"{JOB_ID}-1"])
+        self.assertEqual(list(self.scheduler.open_outputs()), [f"{JOB_ID}-1"])
 
     def test_output_of_an_unknown_item_is_accepted_only_after_the_start(self):
         self.assertTrue(self.scheduler.needs_output("other", (1, 2)))
@@ -178,10 +178,10 @@
         task = ItemTask(self.state, self.state.job.items[0], PartialOutput(["x"], "1", [1], True))
         result = ItemResult(f"{JOB_ID}-0", ResultState.COMPLETED, "x", (1,), "score")
         self.scheduler._finish(task, result)
-        self.assertEqual(list(self.scheduler.open_texts()), [f"{JOB_ID}-0"])
+        self.assertEqual(list(self.scheduler.open_outputs()), [f"{JOB_ID}-0"])
         self.assertFalse(self.scheduler.finished(f"{JOB_ID}-0"))
         self.state.take_segment(list(self.state.unlisted))
-        self.assertEqual(self.scheduler.open_texts(), {})
+        self.assertEqual(self.scheduler.open_outputs(), {})
         self.assertTrue(self.scheduler.finished(f"{JOB_ID}-0"))
         self.scheduler.add(JobState(make_job()))
         self.assertFalse(self.scheduler.finished(f"{JOB_ID}-0"))
