--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -39,7 +39,7 @@
 from runkeel.handoff.hint_log import HintLog
 from runkeel.handoff.hint_service import HintService
 from runkeel.handoff.keeper_quorum import KeeperQuorum, LossTolerance
-from runkeel.jobs.job_copies import JobCopyKeeper
+from runkeel.jobs.job_copies import ReceivedJobCopies
 from runkeel.jobs.job_documents import EncodedJob
 from runkeel.jobs.job_state import JobState
 from runkeel.jobs.scorer import Scorer
@@ -252,7 +252,7 @@
             PartialOutputJournal(folder / PARTIAL_OUTPUT_FOLDER) if folder is not None else None
         )
         self._output_copies = PartialOutputCopies(self._network, self._journal)
-        self._job_copies = JobCopyKeeper(self._network)
+        self._job_copies = ReceivedJobCopies(self._network)
         self._output_handover = PartialOutputHandover(
             self._network,
             SHARD,
--- a/src/runkeel/jobs/job_copies.py
+++ b/src/runkeel/jobs/job_copies.py
@@ -149,7 +149,7 @@
     listed: set[str] = field(default_factory=set)
 
 
-class JobCopyKeeper:
+class ReceivedJobCopies:
     """A node's copies of open jobs; receives updates at any time."""
 
     def __init__(self, network: PeerNetwork) -> None:
--- a/tests/jobs/test_job_copies.py
+++ b/tests/jobs/test_job_copies.py
@@ -3,7 +3,7 @@
 import unittest
 
 from runkeel.api.jobs import BatchJob, ItemResult, JobItem, ResultState
-from runkeel.jobs.job_copies import JobCopyKeeper, JobCopySender
+from runkeel.jobs.job_copies import JobCopySender, ReceivedJobCopies
 from runkeel.jobs.job_state import JobState
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
@@ -24,7 +24,7 @@
 class JobCopyTest(unittest.TestCase):
     def setUp(self):
         self.network = MemoryNetwork()
-        self.keeper = JobCopyKeeper(self.network.node("next"))
+        self.keeper = ReceivedJobCopies(self.network.node("next"))
         self.states = [make_state("j"), make_state("k")]
 
     def sender(self, epoch=1, successors=("next",)):
@@ -66,7 +66,7 @@
     def test_restarted_successor_gets_updated_jobs_again(self):
         sender = self.sender()
         sender.send_once()
-        self.keeper = JobCopyKeeper(self.network.node("next"))
+        self.keeper = ReceivedJobCopies(self.network.node("next"))
         listed(self.states[0], 0)
         sender.send_once()
         sender.send_once()
@@ -76,7 +76,7 @@
         """Guards against relying only on the sender's record of what the receiver has."""
         sender = self.sender()
         sender.send_once()
-        self.keeper = JobCopyKeeper(self.network.node("next"))
+        self.keeper = ReceivedJobCopies(self.network.node("next"))
         for _ in range(ROUNDS):
             sender.send_once()
         self.assertEqual(set(self.kept()), {"j", "k"})
