--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -166,7 +166,7 @@
             epoch,
             lambda model: self.targets.get(model, 0),
             dependencies.election.superseded,
-            texts_expected=epoch > 1 and not partial_outputs,
+            partial_outputs_expected=epoch > 1 and not partial_outputs,
             earlier_runs_seconds=self._earlier_runs_seconds,
         )
         self.usage = (
--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -80,7 +80,7 @@
     Args:
         newest_version: returns the newest version of a model, as announced by its trainer.
         on_superseded: called with the reason when a segment of a later epoch is found.
-        texts_expected: another node may offer partial outputs of the previous term; placement
+        partial_outputs_expected: another node may offer partial outputs of the previous term; placement
             waits for them, up to :data:`PARTIAL_OUTPUT_WAIT_SECONDS`.
         earlier_runs_seconds: given the number of items of all open jobs, returns for how many
             seconds of the term other nodes may still run items for the previous coordinator.
@@ -97,12 +97,12 @@
         epoch: int,
         newest_version: Callable[[str], int],
         on_superseded: Callable[[str], None],
-        texts_expected: bool = False,
+        partial_outputs_expected: bool = False,
         earlier_runs_seconds: Callable[[int], float] = lambda items: 0.0,
     ) -> None:
         self._earlier_runs_seconds = earlier_runs_seconds
         self.loaded = Event()
-        self._texts_expected = texts_expected
+        self._texts_expected = partial_outputs_expected
         self._store = store
         self._job_store = JobStore(store)
         self._epoch = epoch
