--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -167,7 +167,7 @@
             lambda model: self.targets.get(model, 0),
             dependencies.election.superseded,
             partial_outputs_expected=epoch > 1 and not partial_outputs,
-            earlier_runs_seconds=self._earlier_runs_seconds,
+            previous_term_drain_seconds=self._earlier_runs_seconds,
         )
         self.usage = (
             None
--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -82,7 +82,7 @@
         on_superseded: called with the reason when a segment of a later epoch is found.
         partial_outputs_expected: another node may offer partial outputs of the previous term; placement
             waits for them, up to :data:`PARTIAL_OUTPUT_WAIT_SECONDS`.
-        earlier_runs_seconds: given the number of items of all open jobs, returns for how many
+        previous_term_drain_seconds: given the number of items of all open jobs, returns for how many
             seconds of the term other nodes may still run items for the previous coordinator.
 
     Attributes:
@@ -98,9 +98,9 @@
         newest_version: Callable[[str], int],
         on_superseded: Callable[[str], None],
         partial_outputs_expected: bool = False,
-        earlier_runs_seconds: Callable[[int], float] = lambda items: 0.0,
+        previous_term_drain_seconds: Callable[[int], float] = lambda items: 0.0,
     ) -> None:
-        self._earlier_runs_seconds = earlier_runs_seconds
+        self._earlier_runs_seconds = previous_term_drain_seconds
         self.loaded = Event()
         self._texts_expected = partial_outputs_expected
         self._store = store
