--- a/src/runkeel/handoff/hint_client.py
+++ b/src/runkeel/handoff/hint_client.py
@@ -13,7 +13,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.handoff.keeper_quorum import Keeper, KeeperQuorum, KnownKeepers
-from runkeel.jobs.job_documents import EncodedJob, job_text
+from runkeel.jobs.job_documents import EncodedJob, serialize_job
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import (
     JobHint,
@@ -90,7 +90,7 @@
         nodes = self._keepers().keepers
         if self._quorum is None or not self._quorum.is_durable(nodes):
             return HintOutcome.REFUSED
-        message = JobHint(self._shard, job_id, job_text(encoded))
+        message = JobHint(self._shard, job_id, serialize_job(encoded))
         replies: Queue = Queue()
         for node in nodes:
             gevent.spawn(self._send_hint, node, message, replies)
--- a/src/runkeel/jobs/job_copies.py
+++ b/src/runkeel/jobs/job_copies.py
@@ -15,7 +15,7 @@
 from runkeel.api.jobs import BatchJob
 from runkeel.background_task import BackgroundTask
 from runkeel.errors import RunkeelError
-from runkeel.jobs.job_documents import decode_encoded_job, encode_job, job_from_text, job_text
+from runkeel.jobs.job_documents import decode_encoded_job, encode_job, job_from_text, serialize_job
 from runkeel.jobs.job_state import JobState
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import JobCopies, JobCopiesReply, JobCopy
@@ -139,7 +139,7 @@
         return JobCopy(job.job_id, "", [], True) if known is not None else None
     listed = [result.item_id for result in state.results[known or 0 :]]
     if known is None:
-        return JobCopy(job.job_id, job_text(encode_job(job, job.job_id)), listed, False)
+        return JobCopy(job.job_id, serialize_job(encode_job(job, job.job_id)), listed, False)
     return JobCopy(job.job_id, "", listed, False) if listed else None
 
 
--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -42,13 +42,13 @@
     parts: dict[str, list[dict[str, Any]]]
 
 
-def job_text(encoded: EncodedJob) -> str:
+def serialize_job(encoded: EncodedJob) -> str:
     """Serialize a job's document and parts as JSON."""
     return json.dumps({"content": encoded.content, "parts": encoded.parts})
 
 
 def job_from_text(text: str) -> EncodedJob:
-    """Parse the output of :func:`job_text`. Raises KeyError, TypeError or ValueError."""
+    """Parse the output of :func:`serialize_job`. Raises KeyError, TypeError or ValueError."""
     fields = json.loads(text)
     return EncodedJob(dict(fields["content"]), dict(fields["parts"]))
 
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -21,7 +21,7 @@
     KnownKeepers,
     LossTolerance,
 )
-from runkeel.jobs.job_documents import encode_job, job_from_text, job_text
+from runkeel.jobs.job_documents import encode_job, job_from_text, serialize_job
 from runkeel.state.observed_store import ObservedStore
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import JobHint, JobHintReply, JobHintState
@@ -106,7 +106,11 @@
 
     def send_hint(self, encoded, job_id="j", name="k1"):
         reply = self.network.node("edge").call(
-            name, MessageType.JOB_HINT, JobHint(SHARD, job_id, job_text(encoded)), JobHintReply, 5.0
+            name,
+            MessageType.JOB_HINT,
+            JobHint(SHARD, job_id, serialize_job(encoded)),
+            JobHintReply,
+            5.0,
         )
         return reply.state
 
@@ -267,7 +271,7 @@
 class JobTextTest(unittest.TestCase):
     def test_serialized_job_holds_document_and_parts(self):
         encoded = make_encoded()
-        self.assertEqual(job_from_text(job_text(encoded)), encoded)
+        self.assertEqual(job_from_text(serialize_job(encoded)), encoded)
 
 
 if __name__ == "__main__":
