--- a/src/runkeel/handoff/hint_service.py
+++ b/src/runkeel/handoff/hint_service.py
@@ -15,7 +15,7 @@
 from runkeel.handoff.hint_log import HintLog
 from runkeel.jobs.job_documents import (
     EncodedJob,
-    job_from_text,
+    deserialize_job,
     may_be_of_tenant,
     tenant_of_job,
 )
@@ -95,7 +95,7 @@
     def jobs(self) -> list[tuple[str, EncodedJob]]:
         """Return the id and the document of each job that this node keeps a hint of."""
         return [
-            (job_id, job_from_text(serialized_job))
+            (job_id, deserialize_job(serialized_job))
             for job_id, serialized_job in self._hints.items()
         ]
 
@@ -141,7 +141,7 @@
 
     def _accept(self, peer: str, message: JobHint) -> int:
         try:
-            encoded = job_from_text(message.content)
+            encoded = deserialize_job(message.content)
         except (KeyError, TypeError, ValueError) as error:
             logger.warning("malformed hint", code="bad_hint", sender=peer, error=repr(error))
             return JobHintState.REFUSED
@@ -207,7 +207,7 @@
 
     def _hand_off(self, job_id: str, serialized_job: str) -> bool:
         """Write a job to the store or drop its expired hint; returns False if the store failed."""
-        encoded = job_from_text(serialized_job)
+        encoded = deserialize_job(serialized_job)
         age_seconds = time.time() - float(encoded.content["submitted_at"])
         expired = age_seconds > HINT_EXPIRY_SECONDS
         if not expired and self._write_to_store(job_id, encoded) is None:
--- a/src/runkeel/jobs/job_copies.py
+++ b/src/runkeel/jobs/job_copies.py
@@ -15,7 +15,12 @@
 from runkeel.api.jobs import BatchJob
 from runkeel.background_task import BackgroundTask
 from runkeel.errors import RunkeelError
-from runkeel.jobs.job_documents import decode_encoded_job, encode_job, job_from_text, serialize_job
+from runkeel.jobs.job_documents import (
+    decode_encoded_job,
+    deserialize_job,
+    encode_job,
+    serialize_job,
+)
 from runkeel.jobs.job_state import JobState
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import JobCopies, JobCopiesReply, JobCopy
@@ -162,7 +167,7 @@
         jobs = []
         for job_id, entry in self._copies.items():
             try:
-                encoded = job_from_text(entry.text)
+                encoded = deserialize_job(entry.text)
                 job = decode_encoded_job(job_id, encoded)
             except (KeyError, TypeError, ValueError) as error:
                 logger.warning(
--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -47,7 +47,7 @@
     return json.dumps({"content": encoded.content, "parts": encoded.parts})
 
 
-def job_from_text(text: str) -> EncodedJob:
+def deserialize_job(text: str) -> EncodedJob:
     """Parse the output of :func:`serialize_job`. Raises KeyError, TypeError or ValueError."""
     fields = json.loads(text)
     return EncodedJob(dict(fields["content"]), dict(fields["parts"]))
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -21,7 +21,7 @@
     KnownKeepers,
     LossTolerance,
 )
-from runkeel.jobs.job_documents import encode_job, job_from_text, serialize_job
+from runkeel.jobs.job_documents import deserialize_job, encode_job, serialize_job
 from runkeel.state.observed_store import ObservedStore
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import JobHint, JobHintReply, JobHintState
@@ -271,7 +271,7 @@
 class JobTextTest(unittest.TestCase):
     def test_serialized_job_holds_document_and_parts(self):
         encoded = make_encoded()
-        self.assertEqual(job_from_text(serialize_job(encoded)), encoded)
+        self.assertEqual(deserialize_job(serialize_job(encoded)), encoded)
 
 
 if __name__ == "__main__":
