--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -110,7 +110,7 @@
     return str(content.get("tenant", ""))
 
 
-def may_be_of_tenant(document: Document | None, tenant: str) -> bool:
+def may_belong_to_tenant(document: Document | None, tenant: str) -> bool:
     """Return whether a job's document may belong to a tenant; true if its content is unknown."""
     if document is None or document.content is None:
         return True
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -19,7 +19,7 @@
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 from runkeel.handoff.hint_client import HintClient, HintOutcome, JobTrace
 from runkeel.jobs.coordinator import JobCoordinator
-from runkeel.jobs.job_documents import decode_segment, may_be_of_tenant, segment_name
+from runkeel.jobs.job_documents import decode_segment, may_belong_to_tenant, segment_name
 from runkeel.jobs.job_state import JobState, make_page
 from runkeel.jobs.job_store import JobStore, JobSubmission
 from runkeel.jobs.result_cache import ResultCache
@@ -123,7 +123,7 @@
             try:
                 submission.write(STORE_TIMEOUT_SECONDS)
             except DocumentConflictError as conflict:
-                if not may_be_of_tenant(conflict.current, job.tenant):
+                if not may_belong_to_tenant(conflict.current, job.tenant):
                     submission.discard_parts()
                     raise not_run(ErrorCode.CONFLICT, "job id already in use") from conflict
                 logger.info("job already stored", code="job_repeated", job=job.job_id)
