--- a/src/runkeel/handoff/hint_service.py
+++ b/src/runkeel/handoff/hint_service.py
@@ -16,8 +16,8 @@
 from runkeel.jobs.job_documents import (
     EncodedJob,
     deserialize_job,
+    job_tenant,
     may_belong_to_tenant,
-    tenant_of_job,
 )
 from runkeel.jobs.job_store import JobSubmission
 from runkeel.metrics import JOB_HINTS
@@ -183,7 +183,7 @@
         try:
             JobSubmission(self._store, job_id, encoded).write(STORE_TIMEOUT_SECONDS)
         except DocumentConflictError as conflict:
-            return may_belong_to_tenant(conflict.current, tenant_of_job(encoded.content))
+            return may_belong_to_tenant(conflict.current, job_tenant(encoded.content))
         except RunkeelError as error:
             logger.info(
                 "writing hinted job to the store failed",
--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -105,7 +105,7 @@
     }
 
 
-def tenant_of_job(content: dict[str, Any]) -> str:
+def job_tenant(content: dict[str, Any]) -> str:
     """Return the tenant of a job's document; empty if it has none."""
     return str(content.get("tenant", ""))
 
@@ -114,7 +114,7 @@
     """Return whether a job's document may belong to a tenant; true if its content is unknown."""
     if document is None or document.content is None:
         return True
-    return tenant_of_job(document.content) == tenant
+    return job_tenant(document.content) == tenant
 
 
 def part_names(content: dict[str, Any]) -> tuple[str, ...]:
@@ -140,7 +140,7 @@
         minimum_version=int(content["minimum_version"]),
         wanted_groups=int(content["wanted_groups"]),
         step=int(content["step"]),
-        tenant=tenant_of_job(content),
+        tenant=job_tenant(content),
     )
 
 
