--- a/src/runkeel/jobs/job_state.py
+++ b/src/runkeel/jobs/job_state.py
@@ -90,7 +90,7 @@
         self._record_result(result.item_id)
         self.ready.set()
 
-    def take_segment(self, results: Iterable[ItemResult]) -> None:
+    def append_segment(self, results: Iterable[ItemResult]) -> None:
         """Append the results of the next segment in the store."""
         for result in results:
             self.results.append(result)
--- a/src/runkeel/jobs/result_writer.py
+++ b/src/runkeel/jobs/result_writer.py
@@ -110,7 +110,7 @@
                 )
             else:
                 self._last_segment_own = True
-                state.take_segment(batch)
+                state.append_segment(batch)
                 self._log_listed(batch, own=True)
                 return
             gevent.sleep(RETRY_DELAY_SECONDS)
@@ -133,7 +133,7 @@
             return False
         epoch, results = decode_segment(document.content)
         self._last_segment_own = epoch == self._epoch
-        self._state.take_segment(results)
+        self._state.append_segment(results)
         self._log_listed(results, own=self._last_segment_own)
         if epoch > self._epoch:
             raise SupersededError(f"results segment {name} was written in later epoch {epoch}")
--- a/tests/jobs/test_job_copies.py
+++ b/tests/jobs/test_job_copies.py
@@ -18,7 +18,7 @@
 
 def listed(state, number):
     item_id = f"{state.job.job_id}-{number}"
-    state.take_segment([ItemResult(item_id, ResultState.COMPLETED, "text")])
+    state.append_segment([ItemResult(item_id, ResultState.COMPLETED, "text")])
 
 
 class JobCopyTest(unittest.TestCase):
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -180,7 +180,7 @@
         self.scheduler._finish(task, result)
         self.assertEqual(list(self.scheduler.open_outputs()), [f"{JOB_ID}-0"])
         self.assertFalse(self.scheduler.finished(f"{JOB_ID}-0"))
-        self.state.take_segment(list(self.state.unlisted))
+        self.state.append_segment(list(self.state.unlisted))
         self.assertEqual(self.scheduler.open_outputs(), {})
         self.assertTrue(self.scheduler.finished(f"{JOB_ID}-0"))
         self.scheduler.add(JobState(make_job()))
