--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -158,7 +158,7 @@
             lambda model: self.jobs.demand(model, self.targets.get(model, 0)),
             self._on_version_loaded,
             self._placement.load,
-            self.scheduler.leave_engine,
+            self.scheduler.move_items_before_load,
         )
         self.jobs = JobCoordinator(
             dependencies.store,
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -225,7 +225,7 @@
                 if task.engine is not None:
                     self._placement.release(task.engine)
 
-    def leave_engine(self, incarnation: str) -> None:
+    def move_items_before_load(self, incarnation: str) -> None:
         """Move long items away from an engine that is about to pause for loading a version."""
         self._mover.move_before_load(self._running.on_engine(incarnation))
 
