--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -59,10 +59,10 @@
         self._is_loading = is_loading
         self._runners = runners
 
-    def note_open(self, items: int) -> None:
+    def set_open_items(self, items: int) -> None:
         """Set the number of queued and running items, from which the need for runners follows."""
         if self._runners is not None:
-            self._runners.note_open(items)
+            self._runners.set_open_items(items)
 
     def goes_on(self, item_id: str) -> bool:
         """Return whether an earlier run of an item may still be in flight at another node."""
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -250,7 +250,7 @@
             self._queue_configuration = configuration
             self._queue.rebuild_lanes()
         self._queue.requeue_delayed(now)
-        self._runner.note_open(len(self._queue) + len(self._running))
+        self._runner.set_open_items(len(self._queue) + len(self._running))
         for task in self._queue.ready():
             self._place_ready(task)
         starts = 0
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -127,7 +127,7 @@
         """Whether the engines have more slots than this node runs itself."""
         return self._total_slots() > LOCAL_RUNS
 
-    def note_open(self, items: int) -> None:
+    def set_open_items(self, items: int) -> None:
         """Update the number of items that are waiting or running."""
         if items > LOCAL_RUNS:
             self._last_demand_at = steady_seconds()
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -121,7 +121,7 @@
             ItemRunProgress,
             lambda peer, message: (0, made.take_progress(peer, message)),
         )
-        made.note_open(1)
+        made.set_open_items(1)
         made.start()
         self.addCleanup(made.stop)
         return made
@@ -248,7 +248,7 @@
         few._last_demand_at = -lease.DEMAND_RETENTION_SECONDS
         few._runners.clear()
         self.assertFalse(few.needed)
-        few.note_open(1)
+        few.set_open_items(1)
         self.assertTrue(few.needed)
         with mock.patch.object(pool, "LOCAL_RUNS", 1):
             self.assertIsNone(few.runner_for(self.directory.get("e")))
@@ -262,7 +262,7 @@
         task.kill()
         self._wait(lambda: not self.pool._runners)
         self._wait(lambda: self.runner._assignment.ended)
-        self.pool.note_open(1)
+        self.pool.set_open_items(1)
         self._joined()
 
     def test_lease_expires_before_the_runner_counts_as_lost(self):
--- a/tests/runners/test_remote_runs.py
+++ b/tests/runners/test_remote_runs.py
@@ -27,7 +27,7 @@
         deployment.start()
         deployment.wait_ready()
         # Nodes are invited once more items are open than the coordinator runs itself.
-        deployment.node(self.coordinator(deployment)).node._term.runners.note_open(1)
+        deployment.node(self.coordinator(deployment)).node._term.runners.set_open_items(1)
         self.wait(lambda: len(self.runners(deployment)) >= 2)
         return deployment
 
