--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -64,9 +64,9 @@
         if self._runners is not None:
             self._runners.set_open_items(items)
 
-    def goes_on(self, item_id: str) -> bool:
+    def may_still_run(self, item_id: str) -> bool:
         """Return whether an earlier run of an item may still be in flight at another node."""
-        return self._runners is not None and self._runners.goes_on(item_id)
+        return self._runners is not None and self._runners.may_still_run(item_id)
 
     def quarantine_delay_seconds(self, task: ItemTask, service: str) -> float:
         """Return the delay in seconds until a quarantined item may be retried; 0: it may run now.
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -296,7 +296,7 @@
             if time.time() > expires_at(task.state.job, route):
                 self._fail(task, "waited too long")
                 continue
-            if self._runner.goes_on(task.item.item_id):
+            if self._runner.may_still_run(task.item.item_id):
                 # Another node has yet to confirm the end of an earlier run, maybe of an ended job.
                 task.not_before = now + REQUEUE_DELAY_SECONDS
                 self._queue.put(task)
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -192,7 +192,7 @@
         self._live_runs.setdefault(run.item_id, set()).add(run.run_id)
         return run
 
-    def goes_on(self, item_id: str) -> bool:
+    def may_still_run(self, item_id: str) -> bool:
         """Return whether a run of an item, possibly an abandoned one, may still be in flight."""
         return item_id in self._live_runs
 
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -264,7 +264,7 @@
         self.routing.apply(make_configuration())
         in_flight = {f"{JOB_ID}-0"}
         self.scheduler.add(self.state)
-        with mock.patch.object(self.scheduler._runner, "goes_on", in_flight.__contains__):
+        with mock.patch.object(self.scheduler._runner, "may_still_run", in_flight.__contains__):
             self.scheduler._place_all()
             self.assertFalse(self.scheduler._running.has_item(f"{JOB_ID}-0"))
             self.assertEqual(len(self.scheduler._running), len(self.state.items) - 1)
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -207,12 +207,12 @@
         """Late progress of an abandoned run must not be appended to the item's partial output."""
         run, task = self._begin()
         task.kill()
-        self.assertTrue(self.pool.goes_on("i"))
+        self.assertTrue(self.pool.may_still_run("i"))
         before = list(run._partial.pieces)
         late = ItemRunUpdate(run.run_id, len(before), ["late"], "2", [1], False, "", "", "")
         run.apply_update(late)
         self.assertEqual(run._partial.pieces, before)
-        self._wait(lambda: not self.pool.goes_on("i"))
+        self._wait(lambda: not self.pool.may_still_run("i"))
         self.assertEqual(self.hosted[0].outcome, RunOutcome.MOVED.value)
 
     def test_moved_run_ends_once_its_runner_confirms_it(self):
