--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -122,7 +122,7 @@
         self._stream: HttpAnswerStream | None = None
         self._moved = False
 
-    def move_away(self) -> None:
+    def abort_for_move(self) -> None:
         """Abort the run; its outcome is MOVED."""
         self._moved = True
         if self._stream is not None:
--- a/src/runkeel/jobs/run_mover.py
+++ b/src/runkeel/jobs/run_mover.py
@@ -143,7 +143,7 @@
         # Reserve the slot now so that other items do not choose it.
         self._placement.take(other)
         task.reserved_engine = other
-        task.run.move_away()
+        task.run.abort_for_move()
 
 
 def _is_generating(task: ItemTask) -> bool:
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -165,7 +165,7 @@
             text=len(output.pieces),
         )
         task.better_output = output
-        task.run.move_away()
+        task.run.abort_for_move()
 
     def _can_use(self, task: ItemTask, output: PartialOutput) -> bool:
         route = self._route(task)
--- a/src/runkeel/runners/remote_run.py
+++ b/src/runkeel/runners/remote_run.py
@@ -73,7 +73,7 @@
     def backend_id(self) -> str:
         return self._start.backend_id
 
-    def move_away(self) -> None:
+    def abort_for_move(self) -> None:
         """Request the end of the run; its outcome is MOVED once the runner has confirmed it."""
         self._moved = True
         self._request_end(self.run_id)
--- a/tests/jobs/test_run_mover.py
+++ b/tests/jobs/test_run_mover.py
@@ -31,7 +31,7 @@
     def loading(self):
         return False
 
-    def move_away(self):
+    def abort_for_move(self):
         self.moved = True
 
 
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -146,7 +146,7 @@
         self.assertTrue(self.scheduler.needs_output(item_id, far.precedence))
         with mock.patch.object(task, "run") as run:
             self.scheduler.adopt_output(item_id, far)
-            run.move_away.assert_called_once_with()
+            run.abort_for_move.assert_called_once_with()
             self.assertFalse(self.scheduler.needs_output(item_id, far.precedence))
         self.scheduler._handle_incomplete_run(task, self.scheduler._route(task), RunOutcome.MOVED)
         self.assertIs(self.scheduler._queue.of_item(item_id).partial, far)
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -217,7 +217,7 @@
 
     def test_moved_run_ends_once_its_runner_confirms_it(self):
         run, task = self._begin()
-        run.move_away()
+        run.abort_for_move()
         self.assertIs(task.get(timeout=WAIT_TIMEOUT_SECONDS), RunOutcome.MOVED)
         self.assertEqual(self.hosted[0].outcome, RunOutcome.MOVED.value)
 
