--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -19,7 +19,7 @@
 from runkeel.gateway.routing import RoutingTable
 from runkeel.jobs.coordinator import JobCoordinator
 from runkeel.jobs.engine_placement import EnginePlacement
-from runkeel.jobs.engine_versions import report_versions
+from runkeel.jobs.engine_versions import query_versions
 from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.job_copies import CopiedJob, JobCopySender
 from runkeel.jobs.job_documents import EncodedJob
@@ -206,7 +206,7 @@
         self, copies: list[CopiedJob], handed_over: list[tuple[str, EncodedJob]]
     ) -> None:
         """Query the engines' versions, which only a coordinator tracks, before running items."""
-        reported = report_versions(self._directory, self._protocol, self._services())
+        reported = query_versions(self._directory, self._protocol, self._services())
         self._placement.versions.update(reported)
         self.jobs.begin_tentatively(copies)
         for job_id, encoded in handed_over:
--- a/src/runkeel/jobs/engine_versions.py
+++ b/src/runkeel/jobs/engine_versions.py
@@ -19,7 +19,7 @@
 """Timeout of one query."""
 
 
-def report_versions(
+def query_versions(
     directory: BackendDirectory, protocol: BackendProtocol, services: Iterable[str]
 ) -> dict[tuple[str, str], int]:
     """Return the weight version by engine incarnation and model, as reported by the engines."""
