--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -118,7 +118,7 @@
         finally:
             task.run = None
         if isinstance(run, RemoteRun) and outcome is RunOutcome.COMPLETE:
-            task.score, task.scoring_problem = run.score, run.scoring_problem
+            task.score, task.scoring_error = run.score, run.scoring_error
         _record_engine_outcome(task.engine, outcome)
         ITEM_RUNS.labels(outcome.value).inc()
         logger.info(
@@ -140,8 +140,8 @@
     def score(self, task: ItemTask, route: Route) -> ItemResult | None:
         """Score a complete output; returns None if no scorer answered before the deadline."""
         score = task.score
-        if task.scoring_problem:
-            return failed_result(task, f"scoring: {task.scoring_problem}")
+        if task.scoring_error:
+            return failed_result(task, f"scoring: {task.scoring_error}")
         if task.item.scorer is not None and not score:
             deadline = steady_seconds() + _remaining_seconds(task, route)
             try:
--- a/src/runkeel/jobs/item_task.py
+++ b/src/runkeel/jobs/item_task.py
@@ -24,7 +24,7 @@
         resumed: a partial output was found when it was queued; such items are placed first.
         route_missing_since: steady clock time, in seconds; 0 if the route is not missing.
         score: signature of the scorer's answer, if the node that ran the item had it scored.
-        scoring_problem: why that node could not score it; empty if it could or did not need to.
+        scoring_error: why that node could not score it; empty if it could or did not need to.
     """
 
     state: JobState
@@ -38,7 +38,7 @@
     resumed: bool = False
     route_missing_since: float = 0.0
     score: str = ""
-    scoring_problem: str = ""
+    scoring_error: str = ""
     better_output: PartialOutput | None = None
     """A longer partial output received while it ran; it resumes from it once the run has ended."""
     started: bool = False
--- a/src/runkeel/runners/remote_run.py
+++ b/src/runkeel/runners/remote_run.py
@@ -31,7 +31,7 @@
 
     Attributes:
         score: the scorer's stamp; empty if the output was not scored.
-        scoring_problem: why scoring failed; empty if it succeeded or was not needed.
+        scoring_error: why scoring failed; empty if it succeeded or was not needed.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.last_event_at = 0.0
         self.detail = ""
         self.score = ""
-        self.scoring_problem = ""
+        self.scoring_error = ""
 
     @property
     def run_id(self) -> str:
@@ -157,7 +157,7 @@
 
     def _apply_outcome(self, update: ItemRunUpdate) -> None:
         if update.outcome == SCORING_FAILED:
-            self.scoring_problem = update.detail
+            self.scoring_error = update.detail
             self._finish(RunOutcome.COMPLETE, update.detail)
             return
         self.score = update.score
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -305,7 +305,7 @@
     def test_output_that_could_not_be_scored_is_reported_as_such(self):
         self._take(0, ["a"], whole=True, outcome="scoring_failed", detail="4 failures")
         self.assertIs(self.run._outcome, RunOutcome.COMPLETE)
-        self.assertEqual(self.run.scoring_problem, "4 failures")
+        self.assertEqual(self.run.scoring_error, "4 failures")
 
 
 if __name__ == "__main__":
