--- a/src/runkeel/backends/http_connection.py
+++ b/src/runkeel/backends/http_connection.py
@@ -130,7 +130,7 @@
 
 
 @dataclass(slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A complete response of a backend."""
 
     status: int
@@ -220,7 +220,7 @@
         deadline: float,
         before_send: Callable[[], None] | None = None,
         accept: ResponseCheck | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send a request and return the complete response.
 
         Args:
@@ -244,7 +244,7 @@
                 _receive_into(sock, parser, deadline)
         finally:
             self.release(sock, parser)
-        return HttpAnswer(parser.get_code(), list(parser.items()), parser.take_body())
+        return HttpResponse(parser.get_code(), list(parser.items()), parser.take_body())
 
     def open_stream(
         self,
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -11,7 +11,7 @@
 
 from runkeel.api.backend_protocol import AnswerClass, BackendProtocol, PlainRequest
 from runkeel.api.fleet import Route
-from runkeel.backends.http_connection import HttpAnswer
+from runkeel.backends.http_connection import HttpResponse
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, may_have_run, not_run
 from runkeel.gateway.backends import BackendDirectory, BackendState, choose_backend
@@ -38,7 +38,7 @@
 
     state: BackendState
     response_class: AnswerClass | None = None
-    response: HttpAnswer | None = None
+    response: HttpResponse | None = None
     error: RunkeelError | None = None
 
     @property
@@ -105,7 +105,7 @@
         service: str,
         deadline: float,
         gone: Event | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Return the response of a server of the service.
 
         Args:
@@ -134,7 +134,7 @@
                 disconnect_watcher.kill(block=False)
             gevent.killall(progress.tasks, block=False)
 
-    def _run_attempts(self, progress: _Progress) -> HttpAnswer:
+    def _run_attempts(self, progress: _Progress) -> HttpResponse:
         self._start_attempt(progress)
         while progress.running:
             try:
@@ -154,7 +154,7 @@
                 self._start_attempt(progress, "retry")
         return self._finish(progress)
 
-    def _handle_outcome(self, progress: _Progress, outcome: _Outcome) -> HttpAnswer | None:
+    def _handle_outcome(self, progress: _Progress, outcome: _Outcome) -> HttpResponse | None:
         progress.running -= 1
         ATTEMPTS.labels(progress.service, outcome.label).inc()
         if outcome.response_class is AnswerClass.SUCCESS:
@@ -169,7 +169,7 @@
         self._log_attempt(progress, outcome)
         return None
 
-    def _finish(self, progress: _Progress) -> HttpAnswer:
+    def _finish(self, progress: _Progress) -> HttpResponse:
         failure = progress.failure
         if failure is None:
             code = ErrorCode.QUEUE_FULL if progress.tried else ErrorCode.NO_BACKEND
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -13,7 +13,7 @@
 
 from runkeel.api.duties import UsageSettings
 from runkeel.api.machines import Address
-from runkeel.backends.http_connection import HttpAnswer, HttpConnectionPool, OutgoingRequest
+from runkeel.backends.http_connection import HttpConnectionPool, HttpResponse, OutgoingRequest
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 from runkeel.fleet_node import FleetSettings
@@ -273,7 +273,7 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
         seconds: float = _CALL_SECONDS,
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         """Send a client's request to an edge node; None when it gave no answer."""
         process = self._machines[edge].process
         if process is None:
--- a/tests/gateway/scripted_servers.py
+++ b/tests/gateway/scripted_servers.py
@@ -7,7 +7,7 @@
 from runkeel.api.backend_protocol import AnswerClass, GenerationEvent
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
-from runkeel.backends.http_connection import HttpAnswer, OutgoingRequest, Reachability
+from runkeel.backends.http_connection import HttpResponse, OutgoingRequest, Reachability
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, may_have_run, not_run
 from runkeel.gateway.backends import BackendDirectory
@@ -49,7 +49,7 @@
 
     def request(self, outgoing, deadline, accept=None):
         status = self._next(deadline)
-        response = HttpAnswer(status, [], b"body")
+        response = HttpResponse(status, [], b"body")
         accept(response.status, response.headers)
         return response
 
--- a/tests/jobs/test_scorer.py
+++ b/tests/jobs/test_scorer.py
@@ -5,7 +5,7 @@
 
 from runkeel.api.fleet import Route, RouteKind, RoutingConfiguration, ServiceShare
 from runkeel.api.jobs import ScorerCall
-from runkeel.backends.http_connection import HttpAnswer
+from runkeel.backends.http_connection import HttpResponse
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, may_have_run
 from runkeel.gateway.backends import BackendDirectory
@@ -47,7 +47,7 @@
         status = self.statuses.pop(0) if len(self.statuses) > 1 else self.statuses[0]
         if isinstance(status, Exception):
             raise status
-        return HttpAnswer(status, [], b"")
+        return HttpResponse(status, [], b"")
 
 
 class ScorerTest(unittest.TestCase):
--- a/tests/users_platform/test_server_entries.py
+++ b/tests/users_platform/test_server_entries.py
@@ -9,7 +9,7 @@
 
 from runkeel.api.documents import Document, DocumentKind, UnreadableDocumentError
 from runkeel.api.machines import Address
-from runkeel.backends.http_connection import HttpAnswer
+from runkeel.backends.http_connection import HttpResponse
 from runkeel_lab.users_platform import use_adapter
 from runkeel_lab.users_platform.foreign_entries import UNREADABLE, WRONG_VALUES, changed
 
@@ -212,7 +212,7 @@
         self.body = body
 
     def request(self, request, deadline, **more):
-        return HttpAnswer(200, [], self.body)
+        return HttpResponse(200, [], self.body)
 
 
 class ListingTest(unittest.TestCase):
