--- a/src/runkeel/backends/http_connection.py
+++ b/src/runkeel/backends/http_connection.py
@@ -138,7 +138,7 @@
     body: bytes
 
 
-class HttpAnswerStream:
+class HttpResponseStream:
     """A response whose body is read incrementally. Must be closed, even after its end."""
 
     def __init__(
@@ -251,13 +251,13 @@
         request: OutgoingRequest,
         deadline: float,
         before_send: Callable[[], None] | None = None,
-    ) -> HttpAnswerStream:
+    ) -> HttpResponseStream:
         """Send a request and return once the response headers are complete.
 
         Raises like :meth:`request`.
         """
         sock, parser = self._exchange_headers(request, deadline, before_send)
-        return HttpAnswerStream(self, sock, parser)
+        return HttpResponseStream(self, sock, parser)
 
     def release(self, sock: gevent.socket.socket, parser: _ResponseParser) -> None:
         """Return a connection to the pool; resets it if its response is incomplete."""
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -11,7 +11,7 @@
 
 from runkeel.api.backend_protocol import AnswerClass, BackendProtocol, PlainRequest
 from runkeel.api.fleet import Route
-from runkeel.backends.http_connection import HttpAnswerStream
+from runkeel.backends.http_connection import HttpResponseStream
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 from runkeel.gateway.backends import BackendDirectory, BackendState, choose_backend
@@ -50,7 +50,7 @@
     tried: set[str] = field(default_factory=set)
     sent: int = 0
     state: BackendState | None = None
-    stream: HttpAnswerStream | None = None
+    stream: HttpResponseStream | None = None
     last_event_id: str | None = None
 
 
@@ -161,7 +161,7 @@
         request = replace(relay.request, resume_after=relay.last_event_id)
         outgoing = self._protocol.encode_plain(request, state.backend, remaining)
         state.in_flight += 1
-        stream: HttpAnswerStream | None = None
+        stream: HttpResponseStream | None = None
         disconnect_watcher = gevent.spawn(_cancel_on_disconnect, relay.gone, gevent.getcurrent())
         try:
             stream = state.pool.open_stream(outgoing, relay.deadline)
@@ -182,7 +182,7 @@
         self,
         relay: _Relay,
         state: BackendState,
-        stream: HttpAnswerStream,
+        stream: HttpResponseStream,
         response_class: AnswerClass,
     ) -> OpenedStream:
         try:
--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from runkeel.api.backend_protocol import AnswerClass, BackendProtocol, GenerationRequest
-from runkeel.backends.http_connection import HttpAnswerStream
+from runkeel.backends.http_connection import HttpResponseStream
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, may_have_run
 from runkeel.gateway.backends import BackendState
@@ -119,7 +119,7 @@
         self.first_event_at = 0.0
         self.last_event_at = 0.0
         self.detail = ""
-        self._stream: HttpAnswerStream | None = None
+        self._stream: HttpResponseStream | None = None
         self._moved = False
 
     def abort_for_move(self) -> None:
@@ -149,7 +149,7 @@
             self._stream = None
             stream.close()
 
-    def _read(self, stream: HttpAnswerStream, deadline: float) -> RunOutcome:
+    def _read(self, stream: HttpResponseStream, deadline: float) -> RunOutcome:
         request_id = self._request.request_id
         answer_class = self._protocol.classify(request_id, stream.status, stream.headers)
         if stream.status == _UNPROCESSABLE and answer_class is AnswerClass.FAILURE:
@@ -168,7 +168,7 @@
             self._watched.lost(self._state, error)
             return RunOutcome.BROKEN
 
-    def _drain_failure(self, stream: HttpAnswerStream, answer_class: AnswerClass) -> RunOutcome:
+    def _drain_failure(self, stream: HttpResponseStream, answer_class: AnswerClass) -> RunOutcome:
         self.detail = f"status {stream.status}"
         try:
             for _ in stream.chunks(steady_seconds() + STALL_TIMEOUT_SECONDS):
@@ -181,7 +181,7 @@
             return RunOutcome.FAILED
         return RunOutcome.BROKEN
 
-    def _read_events(self, stream: HttpAnswerStream, version: int, deadline: float) -> RunOutcome:
+    def _read_events(self, stream: HttpResponseStream, version: int, deadline: float) -> RunOutcome:
         buffer = b""
         while (chunk := self._next_chunk(stream, deadline)) is not None:
             buffer += chunk
@@ -195,7 +195,7 @@
         self._watched.succeeded()
         return RunOutcome.COMPLETE
 
-    def _next_chunk(self, stream: HttpAnswerStream, deadline: float) -> bytes | None:
+    def _next_chunk(self, stream: HttpResponseStream, deadline: float) -> bytes | None:
         """Return the next bytes; None at the end. Raises RunkeelError when the engine stalls."""
         while True:
             limit = LOADING_STALL_TIMEOUT_SECONDS if self.loading() else STALL_TIMEOUT_SECONDS
--- a/tests/backends/test_http_connection.py
+++ b/tests/backends/test_http_connection.py
@@ -12,8 +12,8 @@
 
 from runkeel.api.machines import Address
 from runkeel.backends.http_connection import (
-    HttpAnswerStream,
     HttpConnectionPool,
+    HttpResponseStream,
     OutgoingRequest,
 )
 from runkeel.clock import steady_seconds
@@ -210,7 +210,7 @@
         server.start()
         self.addCleanup(server.stop, 0.005)
         pool = HttpConnectionPool(Address("127.0.0.1", server.server_port))
-        for give_up in (HttpAnswerStream.close, HttpAnswerStream.abort):
+        for give_up in (HttpResponseStream.close, HttpResponseStream.abort):
             with self.subTest(give_up):
                 request = OutgoingRequest("GET", "/")
                 give_up(pool.open_stream(request, steady_seconds() + 1.0))
