--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class ClientAnswer:
+class ClientResponse:
     """A response to a client; an iterable body is sent in chunks as it arrives."""
 
     status: int
@@ -147,7 +147,7 @@
     def __init__(
         self,
         listen: Address,
-        handler: Callable[[ClientRequest], ClientAnswer],
+        handler: Callable[[ClientRequest], ClientResponse],
         limits: Callable[[], ClientLimits] = ClientLimits,
     ) -> None:
         self._handler = handler
@@ -218,7 +218,7 @@
         return _relay(response.body, watcher)
 
     def _send_complete(
-        self, response: ClientAnswer, connection: _Handler, start_response: Callable[..., Any]
+        self, response: ClientResponse, connection: _Handler, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         if response.status not in _BODILESS_STATUSES:
             response.headers.append(("Content-Length", str(len(response.body))))
@@ -228,7 +228,7 @@
         start_response(_status_line(response.status), response.headers)
         return [response.body]
 
-    def _respond(self, request: ClientRequest) -> ClientAnswer:
+    def _respond(self, request: ClientRequest) -> ClientResponse:
         try:
             return self._handler(request)
         except ResponseAbortedError:
@@ -237,7 +237,7 @@
             logger.opt(exception=error).error(
                 "unexpected error in request handler", code="internal"
             )
-            return ClientAnswer(500)
+            return ClientResponse(500)
 
     def _read_request(
         self, environment: dict[str, Any], connection: _Handler
