--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -11,7 +11,7 @@
 from runkeel.backends.http_connection import OutgoingRequest
 
 
-class AnswerClass(enum.Enum):
+class ResponseClass(enum.Enum):
     """What the head of an answer says of the request that it answers."""
 
     SUCCESS = "success"
@@ -137,7 +137,7 @@
 
     def classify(
         self, request_id: str, status: int, headers: Iterable[tuple[str, str]]
-    ) -> AnswerClass:
+    ) -> ResponseClass:
         """Tell what an answer's head says of the request."""
 
     def is_failed_attempt(self, status: int) -> bool:
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -9,7 +9,7 @@
 from gevent.queue import Empty, Queue
 from loguru import logger
 
-from runkeel.api.backend_protocol import AnswerClass, BackendProtocol, PlainRequest
+from runkeel.api.backend_protocol import BackendProtocol, PlainRequest, ResponseClass
 from runkeel.api.fleet import Route
 from runkeel.backends.http_connection import HttpResponse
 from runkeel.clock import steady_seconds
@@ -37,7 +37,7 @@
     """Result of one attempt; exactly one of response and error is set."""
 
     state: BackendState
-    response_class: AnswerClass | None = None
+    response_class: ResponseClass | None = None
     response: HttpResponse | None = None
     error: RunkeelError | None = None
 
@@ -50,7 +50,7 @@
         """Whether a server may have run the request."""
         if self.error is not None:
             return self.error.verdict is not Verdict.NOT_RUN
-        return self.response_class in (AnswerClass.SUCCESS, AnswerClass.FAILURE)
+        return self.response_class in (ResponseClass.SUCCESS, ResponseClass.FAILURE)
 
 
 @dataclass(slots=True)
@@ -157,7 +157,7 @@
     def _handle_outcome(self, progress: _Progress, outcome: _Outcome) -> HttpResponse | None:
         progress.running -= 1
         ATTEMPTS.labels(progress.service, outcome.label).inc()
-        if outcome.response_class is AnswerClass.SUCCESS:
+        if outcome.response_class is ResponseClass.SUCCESS:
             return outcome.response
         if not outcome.ran:
             progress.sent -= 1
@@ -256,18 +256,18 @@
                 progress.watched.lost(state, may_have_run(ErrorCode.CANCELLED))
             raise
         _record_outcome(state, outcome)
-        if outcome.response_class is AnswerClass.SUCCESS:
+        if outcome.response_class is ResponseClass.SUCCESS:
             state.record_response_time(steady_seconds() - started)
         progress.results.put(outcome)
 
     def _exchange(self, progress: _Progress, state: BackendState) -> _Outcome:
         request = progress.request
         remaining = progress.deadline - steady_seconds()
-        response_classes: list[AnswerClass] = []
+        response_classes: list[ResponseClass] = []
 
         def accept(status: int, headers: list[tuple[str, str]]) -> bool:
             response_classes.append(self._protocol.classify(request.request_id, status, headers))
-            return response_classes[-1] is not AnswerClass.FOREIGN
+            return response_classes[-1] is not ResponseClass.FOREIGN
 
         try:
             outgoing = self._protocol.encode_plain(request, state.backend, remaining)
@@ -276,9 +276,9 @@
             progress.watched.lost(state, error)
             return _Outcome(state, error=error)
         progress.watched.note_reached()
-        if response_classes[-1] is AnswerClass.SUCCESS:
+        if response_classes[-1] is ResponseClass.SUCCESS:
             progress.watched.succeeded()
-        elif response_classes[-1] is AnswerClass.MISDIRECTED:
+        elif response_classes[-1] is ResponseClass.MISDIRECTED:
             self._quarantine.ends.address_taken(state)
         return _Outcome(state, response_class=response_classes[-1], response=response)
 
@@ -306,11 +306,11 @@
 
 def _record_outcome(state: BackendState, outcome: _Outcome) -> None:
     """Record the outcome of an attempt in the state of its server."""
-    if outcome.response_class is AnswerClass.SUCCESS:
+    if outcome.response_class is ResponseClass.SUCCESS:
         state.succeeded()
-    elif outcome.response_class is AnswerClass.REFUSED:
+    elif outcome.response_class is ResponseClass.REFUSED:
         state.refused()
-    elif outcome.error is not None or outcome.response_class is AnswerClass.MISDIRECTED:
+    elif outcome.error is not None or outcome.response_class is ResponseClass.MISDIRECTED:
         state.failed()
 
 
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -9,7 +9,7 @@
 from gevent.event import Event
 from loguru import logger
 
-from runkeel.api.backend_protocol import AnswerClass, BackendProtocol, PlainRequest
+from runkeel.api.backend_protocol import BackendProtocol, PlainRequest, ResponseClass
 from runkeel.api.fleet import Route
 from runkeel.backends.http_connection import HttpResponseStream
 from runkeel.clock import steady_seconds
@@ -172,7 +172,7 @@
         relay.watched.note_reached()
         response_class = self._protocol.classify(request.request_id, stream.status, stream.headers)
         ATTEMPTS.labels(relay.service, response_class.value).inc()
-        if response_class is AnswerClass.SUCCESS:
+        if response_class is ResponseClass.SUCCESS:
             relay.sent += 1
             relay.state, relay.stream = state, stream
             return None
@@ -183,20 +183,20 @@
         relay: _Relay,
         state: BackendState,
         stream: HttpResponseStream,
-        response_class: AnswerClass,
+        response_class: ResponseClass,
     ) -> OpenedStream:
         try:
             body = b"".join(stream.chunks(relay.deadline))
         finally:
             stream.close()
             state.in_flight -= 1
-        if response_class in (AnswerClass.REFUSED, AnswerClass.MISDIRECTED):
+        if response_class in (ResponseClass.REFUSED, ResponseClass.MISDIRECTED):
             state.refused()
-            if response_class is AnswerClass.MISDIRECTED:
+            if response_class is ResponseClass.MISDIRECTED:
                 self._quarantine.ends.address_taken(state)
             return OpenedStream(0, [], b"")
         relay.sent += 1
-        if response_class is AnswerClass.FOREIGN:
+        if response_class is ResponseClass.FOREIGN:
             raise RunkeelError(ErrorCode.BACKEND_LOST, "response to a different request")
         return OpenedStream(stream.status, stream.headers, body)
 
--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from runkeel.api.backend_protocol import AnswerClass, BackendProtocol, GenerationRequest
+from runkeel.api.backend_protocol import BackendProtocol, GenerationRequest, ResponseClass
 from runkeel.backends.http_connection import HttpResponseStream
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, may_have_run
@@ -152,9 +152,9 @@
     def _read(self, stream: HttpResponseStream, deadline: float) -> RunOutcome:
         request_id = self._request.request_id
         answer_class = self._protocol.classify(request_id, stream.status, stream.headers)
-        if stream.status == _UNPROCESSABLE and answer_class is AnswerClass.FAILURE:
+        if stream.status == _UNPROCESSABLE and answer_class is ResponseClass.FAILURE:
             return RunOutcome.IMPOSSIBLE
-        if answer_class is not AnswerClass.SUCCESS:
+        if answer_class is not ResponseClass.SUCCESS:
             return self._drain_failure(stream, answer_class)
         version = self._protocol.weight_version(stream.headers)
         if version and version < self._minimum_version:
@@ -168,16 +168,18 @@
             self._watched.lost(self._state, error)
             return RunOutcome.BROKEN
 
-    def _drain_failure(self, stream: HttpResponseStream, answer_class: AnswerClass) -> RunOutcome:
+    def _drain_failure(self, stream: HttpResponseStream, answer_class: ResponseClass) -> RunOutcome:
         self.detail = f"status {stream.status}"
         try:
             for _ in stream.chunks(steady_seconds() + STALL_TIMEOUT_SECONDS):
                 pass
         except RunkeelError as error:
             self.detail += f", {error.detail}"
-        if answer_class in (AnswerClass.REFUSED, AnswerClass.MISDIRECTED):
+        if answer_class in (ResponseClass.REFUSED, ResponseClass.MISDIRECTED):
             return RunOutcome.REFUSED
-        if answer_class is AnswerClass.FAILURE and self._protocol.is_failed_attempt(stream.status):
+        if answer_class is ResponseClass.FAILURE and self._protocol.is_failed_attempt(
+            stream.status
+        ):
             return RunOutcome.FAILED
         return RunOutcome.BROKEN
 
--- a/src/runkeel/jobs/scorer.py
+++ b/src/runkeel/jobs/scorer.py
@@ -8,7 +8,7 @@
 import gevent
 from loguru import logger
 
-from runkeel.api.backend_protocol import AnswerClass, BackendProtocol
+from runkeel.api.backend_protocol import BackendProtocol, ResponseClass
 from runkeel.api.fleet import Route
 from runkeel.api.jobs import ScorerCall
 from runkeel.clock import steady_seconds
@@ -138,7 +138,7 @@
             )
             return "", 0, max(RETRY_SECONDS, asked)
         answer_class = self._protocol.classify(call.request_id, answer.status, answer.headers)
-        if answer_class is AnswerClass.SUCCESS:
+        if answer_class is ResponseClass.SUCCESS:
             return self._protocol.stamp(answer.headers), 0, RETRY_SECONDS
         counts = self._protocol.is_failed_attempt(answer.status)
         logger.info(
--- a/tests/gateway/scripted_servers.py
+++ b/tests/gateway/scripted_servers.py
@@ -4,7 +4,7 @@
 
 import gevent
 
-from runkeel.api.backend_protocol import AnswerClass, GenerationEvent
+from runkeel.api.backend_protocol import GenerationEvent, ResponseClass
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
 from runkeel.backends.http_connection import HttpResponse, OutgoingRequest, Reachability
@@ -14,9 +14,9 @@
 
 SERVICE = "ledger"
 _CLASSES = {
-    200: AnswerClass.SUCCESS,
-    421: AnswerClass.MISDIRECTED,
-    503: AnswerClass.REFUSED,
+    200: ResponseClass.SUCCESS,
+    421: ResponseClass.MISDIRECTED,
+    503: ResponseClass.REFUSED,
 }
 
 
@@ -31,7 +31,7 @@
         return OutgoingRequest(request.method, request.target, [], request.body)
 
     def classify(self, request_id, status, headers):
-        return _CLASSES.get(status, AnswerClass.FAILURE)
+        return _CLASSES.get(status, ResponseClass.FAILURE)
 
     def parse_event(self, block):
         return GenerationEvent(block.decode(), "", 0, True)
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from runkeel.api.backend_protocol import AnswerClass, PlainRequest
+from runkeel.api.backend_protocol import PlainRequest, ResponseClass
 from runkeel.api.documents import Document, DocumentKind
 from runkeel.api.fleet import Backend, RouteKind
 from runkeel.api.machines import Address
@@ -193,13 +193,13 @@
     def test_answers_are_classified(self):
         stamp = ("Server-Stamp", "s")
         for status, headers, expected in (
-            (200, [stamp, ("Attempt-Id", "r")], AnswerClass.SUCCESS),
-            (200, [("Attempt-Id", "r")], AnswerClass.FOREIGN),
-            (200, [stamp, ("Attempt-Id", "other")], AnswerClass.FOREIGN),
-            (503, [("Not-Executed", "1")], AnswerClass.REFUSED),
-            (503, [], AnswerClass.FAILURE),
-            (421, [], AnswerClass.MISDIRECTED),
-            (500, [stamp], AnswerClass.FAILURE),
+            (200, [stamp, ("Attempt-Id", "r")], ResponseClass.SUCCESS),
+            (200, [("Attempt-Id", "r")], ResponseClass.FOREIGN),
+            (200, [stamp, ("Attempt-Id", "other")], ResponseClass.FOREIGN),
+            (503, [("Not-Executed", "1")], ResponseClass.REFUSED),
+            (503, [], ResponseClass.FAILURE),
+            (421, [], ResponseClass.MISDIRECTED),
+            (500, [stamp], ResponseClass.FAILURE),
         ):
             with self.subTest(status=status, headers=headers):
                 self.assertIs(self.protocol.classify("r", status, headers), expected)
