--- a/src/runkeel/gateway/routing.py
+++ b/src/runkeel/gateway/routing.py
@@ -11,7 +11,7 @@
 _HASH_RANGE = float(1 << 32)
 
 
-class RoutesInForce:
+class RoutingSnapshot:
     """Immutable, indexed snapshot of one version of the configuration.
 
     A request uses a single snapshot, so that authentication and routing see the same version.
@@ -43,10 +43,10 @@
     """The configuration in force at this node; versions only increase."""
 
     def __init__(self) -> None:
-        self._in_force: RoutesInForce | None = None
+        self._in_force: RoutingSnapshot | None = None
 
     @property
-    def in_force(self) -> RoutesInForce | None:
+    def in_force(self) -> RoutingSnapshot | None:
         """The snapshot in force, None before the first configuration."""
         return self._in_force
 
@@ -60,7 +60,7 @@
         current = self.configuration
         if current is not None and configuration.version <= current.version:
             return False
-        self._in_force = RoutesInForce(configuration)
+        self._in_force = RoutingSnapshot(configuration)
         logger.info(
             "configuration applied",
             code="configuration",
--- a/tests/tenants/test_access.py
+++ b/tests/tenants/test_access.py
@@ -4,7 +4,7 @@
 
 from runkeel.api.fleet import Route, RouteKind, RoutingConfiguration
 from runkeel.errors import ErrorCode, RunkeelError, Verdict
-from runkeel.gateway.routing import RoutesInForce
+from runkeel.gateway.routing import RoutingSnapshot
 from runkeel.tenants.access import NO_TENANT, calling_tenant
 from runkeel.tenants.directory import Tenant, TenantDirectory
 from runkeel.tenants.keys import key_digest
@@ -61,11 +61,11 @@
 class RankTest(unittest.TestCase):
     def test_rank_of_the_tenant_overrides_that_of_the_route(self):
         route = Route("r", "h", "/", RouteKind.BATCH, (), rank=5)
-        with_tenants = RoutesInForce(RoutingConfiguration(1, (route,), tenants=directory()))
+        with_tenants = RoutingSnapshot(RoutingConfiguration(1, (route,), tenants=directory()))
         self.assertEqual(with_tenants.rank(route, "parish"), 1)
         self.assertEqual(with_tenants.rank(route, "school"), 5)
         self.assertEqual(with_tenants.rank(route, "gone"), 5)
-        without = RoutesInForce(RoutingConfiguration(1, (route,)))
+        without = RoutingSnapshot(RoutingConfiguration(1, (route,)))
         self.assertEqual(without.rank(route, "parish"), 5)
 
 
