--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -14,7 +14,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.gateway.directory_news import BackendChangeLog
 from runkeel.gateway.indexed_set import IndexedSet
-from runkeel.gateway.server_starts import ServerStarts, is_reported
+from runkeel.gateway.server_starts import IncarnationTracker, is_reported
 
 CANDIDATES = 16
 """Maximum number of servers considered per request, to bound the cost of the selection.
@@ -137,7 +137,7 @@
         """Servers that take new work, by service."""
         self._preferred: dict[str, list[BackendState]] = {}
         """Candidates of each service that has more than CANDIDATES servers."""
-        self._starts = ServerStarts()
+        self._starts = IncarnationTracker()
         self._change_log = BackendChangeLog()
         self._listeners: list[Callable[[str], None]] = []
         self._end_listeners: list[Callable[[BackendState], None]] = []
--- a/src/runkeel/gateway/server_starts.py
+++ b/src/runkeel/gateway/server_starts.py
@@ -41,7 +41,7 @@
         self.orders_taken = None
 
 
-class ServerStarts:
+class IncarnationTracker:
     """Current and previous starts of each server id."""
 
     def __init__(self) -> None:
--- a/tests/gateway/test_starts_fuzz.py
+++ b/tests/gateway/test_starts_fuzz.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from runkeel.gateway import backends
-from runkeel.gateway.server_starts import ServerStarts
+from runkeel.gateway.server_starts import IncarnationTracker
 from tests.fuzzing import find_violation
 from tests.gateway.starts_machine import StartsMachine
 
@@ -24,14 +24,14 @@
             self.assertIsNotNone(find_violation(StartsMachine, FEW))
 
     def test_accepting_an_update_of_a_previous_start_is_detected(self):
-        settle = ServerStarts.settle
+        settle = IncarnationTracker.settle
 
         def settle_without_history(starts, backend, revision):
             for known in starts._known.values():
                 known.previous.clear()
             return settle(starts, backend, revision)
 
-        with mock.patch.object(ServerStarts, "settle", settle_without_history):
+        with mock.patch.object(IncarnationTracker, "settle", settle_without_history):
             self.assertIsNotNone(find_violation(StartsMachine, FEW))
 
 
--- a/tests/users_platform/test_servers_soak.py
+++ b/tests/users_platform/test_servers_soak.py
@@ -9,7 +9,7 @@
 from runkeel.api.documents import UnreadableDocumentError
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
-from runkeel.gateway.server_starts import ServerStarts
+from runkeel.gateway.server_starts import IncarnationTracker
 from runkeel_lab.users_platform import use_adapter
 from runkeel_lab.users_platform.servers_soak import ServersSoak
 
@@ -27,14 +27,14 @@
         self.assertGreater(report.answered, 100)
 
     def test_directory_that_passes_new_starts_over_is_found(self):
-        settle = ServerStarts.settle
+        settle = IncarnationTracker.settle
 
         def deaf(starts, backend, revision):
             known = starts._known.get(backend.backend_id)
             over = known is not None and known.start != backend.start
             return None if over else settle(starts, backend, revision)
 
-        with mock.patch.object(ServerStarts, "settle", deaf):
+        with mock.patch.object(IncarnationTracker, "settle", deaf):
             report = ServersSoak(3, SECONDS).run()
         self.assertTrue([text for text in report.violations if "does not use" in text])
 
