--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -16,7 +16,7 @@
 from runkeel.gateway.indexed_set import IndexedSet
 from runkeel.gateway.server_starts import IncarnationTracker, is_reported
 
-CANDIDATES = 16
+MAX_CANDIDATES = 16
 """Maximum number of servers considered per request, to bound the cost of the selection.
 
 A node keeps using the same candidates of a larger service, so that connections are reused.
@@ -136,7 +136,7 @@
         self._services: dict[str, IndexedSet[BackendState]] = {}
         """Servers that take new work, by service."""
         self._preferred: dict[str, list[BackendState]] = {}
-        """Candidates of each service that has more than CANDIDATES servers."""
+        """Candidates of each service that has more than MAX_CANDIDATES servers."""
         self._starts = IncarnationTracker()
         self._change_log = BackendChangeLog()
         self._listeners: list[Callable[[str], None]] = []
@@ -279,13 +279,13 @@
         members = self._services.get(service)
         if members is None:
             return []
-        if len(members) <= CANDIDATES:
+        if len(members) <= MAX_CANDIDATES:
             return list(members)
         preferred = self._preferred_of(service, members)
         now = steady_seconds()
         if any(one.incarnation not in tried and not one.avoided(now) for one in preferred):
             return preferred
-        return [*preferred, *members.sample(CANDIDATES)]
+        return [*preferred, *members.sample(MAX_CANDIDATES)]
 
     def all(self) -> list[BackendState]:
         """Return all servers, including those that are draining."""
@@ -293,10 +293,12 @@
 
     def _preferred_of(self, service: str, members: IndexedSet[BackendState]) -> list[BackendState]:
         kept = [one for one in self._preferred.get(service, ()) if one.incarnation in members]
-        if len(kept) < CANDIDATES:
+        if len(kept) < MAX_CANDIDATES:
             known = {one.incarnation for one in kept}
-            sampled = [one for one in members.sample(CANDIDATES) if one.incarnation not in known]
-            kept += sampled[: CANDIDATES - len(kept)]
+            sampled = [
+                one for one in members.sample(MAX_CANDIDATES) if one.incarnation not in known
+            ]
+            kept += sampled[: MAX_CANDIDATES - len(kept)]
         self._preferred[service] = kept
         return kept
 
--- a/tests/gateway/test_backends.py
+++ b/tests/gateway/test_backends.py
@@ -6,7 +6,7 @@
 from runkeel.api.machines import Address
 from runkeel.clock import steady_seconds
 from runkeel.gateway.backends import (
-    CANDIDATES,
+    MAX_CANDIDATES,
     MAX_EJECTION_SECONDS,
     BackendDirectory,
     choose_backend,
@@ -63,7 +63,7 @@
         """Guards against a selection cost that grows with the number of servers."""
         self._put_many()
         names = self._names()
-        self.assertEqual(len(set(names)), CANDIDATES)
+        self.assertEqual(len(set(names)), MAX_CANDIDATES)
         self.assertEqual(self._names(), names)
 
     def test_candidate_that_leaves_is_replaced(self):
@@ -72,9 +72,9 @@
         self.directory.remove(names[0])
         self.directory.put(make_backend(names[1], draining=True))
         after = self._names()
-        self.assertEqual(len(set(after)), CANDIDATES)
+        self.assertEqual(len(set(after)), MAX_CANDIDATES)
         self.assertFalse({names[0], names[1]} & set(after))
-        self.assertEqual(after[: CANDIDATES - 2], names[2:])
+        self.assertEqual(after[: MAX_CANDIDATES - 2], names[2:])
 
     def test_other_servers_are_sampled_if_no_candidate_is_left(self):
         self._put_many()
