--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -41,7 +41,7 @@
 server that restarted without reporting it, or the document store is unavailable.
 """
 
-REFUSAL_PAUSE_SECONDS = 0.05
+REFUSAL_BACKOFF_SECONDS = 0.05
 """Time for which a server is avoided after it refused a request because it was full."""
 
 RESPONSE_TIME_WEIGHT = 0.3
@@ -106,7 +106,7 @@
 
     def refused(self) -> None:
         """Record that the server was full."""
-        self.avoid_until = max(self.avoid_until, steady_seconds() + REFUSAL_PAUSE_SECONDS)
+        self.avoid_until = max(self.avoid_until, steady_seconds() + REFUSAL_BACKOFF_SECONDS)
 
     def failed(self) -> None:
         """Record a lost connection or response; ejects the server, longer each time in a row."""
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -18,7 +18,7 @@
 from runkeel.api.machines import Address
 from runkeel.backends.http_connection import OutgoingRequest
 from runkeel.clock import steady_seconds
-from runkeel.gateway.backends import REFUSAL_PAUSE_SECONDS, BackendDirectory
+from runkeel.gateway.backends import REFUSAL_BACKOFF_SECONDS, BackendDirectory
 from runkeel.gateway.routing import RoutingTable
 from runkeel.jobs.engine_placement import EnginePlacement
 from runkeel.jobs.generation_run import PartialOutput, RunOutcome
@@ -105,7 +105,7 @@
         while not engine.failures:
             self.assertLess(steady_seconds(), deadline)
             gevent.sleep(0.01)
-        self.assertTrue(engine.avoided(steady_seconds() + REFUSAL_PAUSE_SECONDS))
+        self.assertTrue(engine.avoided(steady_seconds() + REFUSAL_BACKOFF_SECONDS))
 
     def test_queued_item_resumes_from_the_longer_output(self):
         item_id = f"{JOB_ID}-0"
