--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -303,7 +303,7 @@
         )
         self._network.on_call(MessageType.USAGE_COUNTS, UsageCounts, self._handle_usage)
         self.directory.on_change(self._on_directory_changed)
-        self.directory.on_end(self._on_backend_incarnation_ended)
+        self.directory.on_incarnation_end(self._on_backend_incarnation_ended)
 
     @property
     def coordinating(self) -> bool:
--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -148,7 +148,7 @@
         """Register a listener that gets the service's name whenever one of its servers changes."""
         self._listeners.append(listener)
 
-    def on_end(self, listener: Callable[[BackendState], None]) -> None:
+    def on_incarnation_end(self, listener: Callable[[BackendState], None]) -> None:
         """Register a listener for incarnations that ended: the server left or was restarted.
 
         The listener has to drop everything that is kept for the incarnation, within the call.
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -173,7 +173,7 @@
         before = self.directory.get("a")
         self.assertEqual(len(self.ledger), 0)
         before.pool.abort = lambda: None
-        self.directory.on_end(self.quarantine.ends.backend_restarted)
+        self.directory.on_incarnation_end(self.quarantine.ends.backend_restarted)
         self.directory.put(replace(before.backend, start="2000"), 2)
         (record,) = self.ledger.records()
         self.assertEqual(record.ended, {"a"})
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -28,7 +28,7 @@
     def setUp(self):
         self.directory = BackendDirectory()
         self.ended_states = []
-        self.directory.on_end(self.ended_states.append)
+        self.directory.on_incarnation_end(self.ended_states.append)
         self.revision = 0
 
     def put(self, backend):
