--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -176,7 +176,7 @@
         """Start listening. Raises OSError if the address is in use."""
         self._server.start()
 
-    def close_after_answers(self) -> None:
+    def close_after_responses(self) -> None:
         """Close each connection after its next response; still accept new connections."""
         self._server.stopping = True
 
