--- a/src/runkeel/coordination/version_rollout.py
+++ b/src/runkeel/coordination/version_rollout.py
@@ -369,5 +369,5 @@
 
         After a restart its versions and its order sequence do not belong to this incarnation.
         """
-        self._directory.note_reported(state, report.start)
+        self._directory.record_reported_start(state, report.start)
         return None if state.replaced else report
--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -174,11 +174,11 @@
         self._apply(resolved)
         return True
 
-    def note_reported(self, state: BackendState, start: str) -> None:
+    def record_reported_start(self, state: BackendState, start: str) -> None:
         """Process the start that a server reported in a response."""
         if self._states.get(state.backend_id) is not state:
             return
-        renewed = self._starts.note_reported(state.backend, start)
+        renewed = self._starts.record_reported_start(state.backend, start)
         if renewed is not None:
             self._apply(renewed)
 
--- a/src/runkeel/gateway/server_starts.py
+++ b/src/runkeel/gateway/server_starts.py
@@ -72,7 +72,7 @@
             known.orders_taken = backend.orders_taken
         return replace(backend, start=known.start)
 
-    def note_reported(self, backend: Backend, start: str) -> Backend | None:
+    def record_reported_start(self, backend: Backend, start: str) -> Backend | None:
         """Return the new incarnation that a server's response reveals, None if it reveals none.
 
         Responses are ignored if the server's entry doesn't report starts to compare with.
--- a/tests/gateway/starts_machine.py
+++ b/tests/gateway/starts_machine.py
@@ -45,7 +45,7 @@
         state = self.directory.get(NAME)
         if state is None:
             return
-        self.directory.note_reported(state, start)
+        self.directory.record_reported_start(state, start)
         if start not in self.over:
             self._expect_start(start)
 
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -112,7 +112,7 @@
     def test_response_reveals_a_new_start_before_the_entry(self):
         self.put(started("1000", orders=4, model_versions={"m": 3}))
         old_state = self.state()
-        self.directory.note_reported(old_state, "2000")
+        self.directory.record_reported_start(old_state, "2000")
         self.assertEqual(self.state().backend.start, "2000")
         self.assertEqual(self.state().backend.model_versions, {})
         self.assertFalse(self.put(started("1000", orders=4)))
@@ -126,14 +126,14 @@
         old_state = self.state()
         self.put(started("2000"))
         current = self.state()
-        self.directory.note_reported(old_state, "1000")
-        self.directory.note_reported(current, "1000")
+        self.directory.record_reported_start(old_state, "1000")
+        self.directory.record_reported_start(current, "1000")
         self.assertIs(self.state(), current)
 
     def test_response_is_ignored_if_the_entry_reports_no_start(self):
         self.put(started())
         old_state = self.state()
-        self.directory.note_reported(old_state, "1000")
+        self.directory.record_reported_start(old_state, "1000")
         self.assertIs(self.state(), old_state)
 
     def test_removed_server_that_returns_is_new(self):
