--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -446,7 +446,7 @@
 
     def _on_backend_unreadable(self, document: Document, reason: str) -> None:
         """Send no new requests to the server, and notify the nodes that follow this one."""
-        self.directory.note_unreadable(document.name, reason)
+        self.directory.mark_unreadable(document.name, reason)
         self._feed.note(document, removed=False)
 
     def _on_backend_incarnation_ended(self, state: BackendState) -> None:
--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -182,7 +182,7 @@
         if renewed is not None:
             self._apply(renewed)
 
-    def note_unreadable(self, backend_id: str, reason: str) -> None:
+    def mark_unreadable(self, backend_id: str, reason: str) -> None:
         """Record that an entry can't be read; its server gets no new work until it can.
 
         Requests in flight continue, as a malformed entry doesn't mean that the server failed.
--- a/tests/gateway/starts_machine.py
+++ b/tests/gateway/starts_machine.py
@@ -71,7 +71,7 @@
 
     @rule(reason=st.sampled_from(["Slots: missing"]))
     def unreadable(self, reason):
-        self.directory.note_unreadable(NAME, reason)
+        self.directory.mark_unreadable(NAME, reason)
 
     @invariant()
     def only_the_current_start_counts(self):
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -213,21 +213,21 @@
 
     def test_server_gets_no_work_while_its_entry_is_unreadable(self):
         old_state = self.directory.get(NAME)
-        self.directory.note_unreadable(NAME, "Slots: not a whole number")
+        self.directory.mark_unreadable(NAME, "Slots: not a whole number")
         self.assertEqual(self.directory.of_service(SERVICE), [])
         self.assertFalse(old_state.replaced)
         self.directory.put(started("1000"), 3)
         self.assertEqual(self.directory.of_service(SERVICE), [old_state])
 
     def test_unreadable_entry_of_an_unknown_server_is_kept_for_operators(self):
-        self.directory.note_unreadable("other", "State: missing")
+        self.directory.mark_unreadable("other", "State: missing")
         self.assertEqual(dict(self.directory.unreadable), {"other": "State: missing"})
         self.directory.remove("other")
         self.assertFalse(self.directory.unreadable)
 
     def test_number_of_unreadable_entries_is_bounded(self):
         for number in range(MAX_UNREADABLE_ENTRIES + 10):
-            self.directory.note_unreadable(f"other-{number}", "State: missing")
+            self.directory.mark_unreadable(f"other-{number}", "State: missing")
         self.assertEqual(len(self.directory.unreadable), MAX_UNREADABLE_ENTRIES)
 
 
