--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -29,7 +29,7 @@
 STEPS = 3
 GROUPS = 6
 GROUP_SIZE = 4
-LONGEST_WAIT_SECONDS = 15.0
+WAIT_TIMEOUT_SECONDS = 15.0
 DRAINED_SECONDS = 1.5
 """A server that says that it leaves gets nothing new after so long."""
 
@@ -91,10 +91,10 @@
         self.checks.append(Check(name, holds, evidence))
 
     def _wait(self, what: str, condition: Callable[[], object]) -> object:
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not (value := condition()):
             if steady_seconds() > deadline:
-                raise NotSeenError(f"{what}: not within {LONGEST_WAIT_SECONDS:.0f} s")
+                raise NotSeenError(f"{what}: not within {WAIT_TIMEOUT_SECONDS:.0f} s")
             gevent.sleep(_POLL_SECONDS)
         return value
 
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -35,7 +35,7 @@
     ),
 }
 SCALE = 0.1
-LONGEST_WAIT_SECONDS = 10.0
+WAIT_TIMEOUT_SECONDS = 10.0
 SETTLE_SECONDS = 1.0
 
 
@@ -120,7 +120,7 @@
         return [self._node(name, preferred) for name in names]
 
     def _wait(self, condition):
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not condition():
             self.assertLess(steady_seconds(), deadline, f"terms so far: {self.terms}")
             gevent.sleep(0.01)
@@ -143,7 +143,7 @@
         """A node that is not preferred must leave a silent coordinator to preferred ones."""
         content = {"node": "x", "address": "127.0.0.1:1", "zone": "zone", "epoch": 1}
         self.store.put(DocumentKind.COORDINATOR, "fleet", content)
-        with mock.patch.object(succession, "NOT_PREFERRED_DELAY_SECONDS", LONGEST_WAIT_SECONDS):
+        with mock.patch.object(succession, "NOT_PREFERRED_DELAY_SECONDS", WAIT_TIMEOUT_SECONDS):
             nodes = self._nodes("edge-1", "edge-2", preferred=False)
             gevent.sleep(SETTLE_SECONDS / 2)
             nodes += self._nodes("disk-1")
--- a/tests/lab/test_demo.py
+++ b/tests/lab/test_demo.py
@@ -27,7 +27,7 @@
     def test_what_does_not_come_is_shown(self):
         with (
             tempfile.TemporaryDirectory() as folder,
-            mock.patch.object(demo, "LONGEST_WAIT_SECONDS", 0.0),
+            mock.patch.object(demo, "WAIT_TIMEOUT_SECONDS", 0.0),
         ):
             holds, printed = self._run(folder)
         self.assertFalse(holds)
--- a/tests/users_platform/deployment_case.py
+++ b/tests/users_platform/deployment_case.py
@@ -7,7 +7,7 @@
 from runkeel.clock import steady_seconds
 from runkeel_lab.users_platform.deployment import Deployment
 
-LONGEST_WAIT_SECONDS = 30.0
+WAIT_TIMEOUT_SECONDS = 30.0
 
 
 class DeploymentTestCase(unittest.TestCase):
@@ -18,7 +18,7 @@
         deployment.wait_ready()
         return deployment
 
-    def wait(self, condition, seconds=LONGEST_WAIT_SECONDS):
+    def wait(self, condition, seconds=WAIT_TIMEOUT_SECONDS):
         deadline = steady_seconds() + seconds
         while not (value := condition()):
             self.assertLess(steady_seconds(), deadline, "waited too long")
