--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -83,7 +83,7 @@
 MAX_QUERIED_SUCCESSORS = 2
 """Number of successors to query; if none of them answers, the store is read."""
 
-KEEPERS_TOLD_SECONDS = 3.0
+STORAGE_NODES_SETTLE_SECONDS = 3.0
 """How long after its start a node's list of keepers may be incomplete."""
 
 SUCCESSOR_QUERY_INTERVAL_SECONDS = 0.2
@@ -329,7 +329,7 @@
             leading = [Keeper(known.node_id, known.zone)] if known is not None else []
             keepers = [*own, *leading, *keepers]
         complete = self.coordinating or self._advertised.received_any
-        settled = steady_seconds() - self._started_at >= KEEPERS_TOLD_SECONDS
+        settled = steady_seconds() - self._started_at >= STORAGE_NODES_SETTLE_SECONDS
         # A node may appear in more than one of these lists; the first entry counts.
         distinct = {one.node_id: one for one in reversed(keepers)}
         return KnownKeepers(tuple(reversed(distinct.values())), complete and settled)
--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -5,7 +5,7 @@
 import gevent
 
 from runkeel.clock import steady_seconds
-from runkeel.coordination.election import KEEPERS_TOLD_SECONDS
+from runkeel.coordination.election import STORAGE_NODES_SETTLE_SECONDS
 from runkeel_lab.users_platform.servers import event_count, whole_text
 from tests.users_platform.deployment_case import DeploymentTestCase
 
@@ -43,7 +43,7 @@
             return answer.status
 
         # A node that has just started may not have been told of all machines that keep jobs.
-        self.wait(lambda: status() != 503, seconds=2 * KEEPERS_TOLD_SECONDS)
+        self.wait(lambda: status() != 503, seconds=2 * STORAGE_NODES_SETTLE_SECONDS)
         self.assertEqual(status(), 404)
         self.assertEqual(deployment.end("edge-0", "none"), 404)
         deployment.submit("edge-0", "j", self.items("j", 1))
