--- a/src/runkeel/coordination/feed_follower.py
+++ b/src/runkeel/coordination/feed_follower.py
@@ -149,7 +149,7 @@
         if self._task is not None:
             self._task.kill(block=False)
 
-    def ask_store(self, reason: str) -> None:
+    def use_store(self, reason: str) -> None:
         """Have the watchers watch the store themselves."""
         if self._watchers_suspended or not self.store_needed.is_set():
             logger.info("feed lost; watching the store directly", code="feed_lost", reason=reason)
@@ -164,7 +164,7 @@
             coordinator = self._coordinator()
             if coordinator is None:
                 if steady_seconds() - self._started_at >= START_GRACE_SECONDS:
-                    self.ask_store("no other coordinator")
+                    self.use_store("no other coordinator")
                 gevent.sleep(NO_COORDINATOR_POLL_SECONDS)
                 continue
             problem = self._read(coordinator)
@@ -183,7 +183,7 @@
         now = steady_seconds()
         self._lost_at = self._lost_at or now
         if not self._watchers_suspended or now - self._lost_at >= self._grace_seconds:
-            self.ask_store(problem)
+            self.use_store(problem)
         elif problem != STALE:
             # Only the store has a new coordinator that the previous one has not reported.
             self.coordinator_needed.set()
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -503,7 +503,7 @@
             self._create_term(epoch)
         self._term.start()
         self._quarantine.begin_term()
-        self._follower.ask_store("this node coordinates")
+        self._follower.use_store("this node coordinates")
         self._routing_watcher.rewatch()
         # The feed of the previous coordinator omits weight versions.
         self._backend_watcher.refresh("this node coordinates")
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -70,7 +70,7 @@
     def coordinate(self):
         self.since = steady_seconds()
         self.coordinator = None
-        self.follower.ask_store("coordinates")
+        self.follower.use_store("coordinates")
         self.watcher.rewatch()
 
     def stop(self):
