--- a/src/runkeel/coordination/rollout_plan.py
+++ b/src/runkeel/coordination/rollout_plan.py
@@ -44,7 +44,7 @@
     """
 
     minimum_version: int = 0
-    slack: int = 0
+    max_version_lag: int = 0
     items: int | None = None
     pressed: bool = False
 
@@ -146,10 +146,10 @@
     model: str, target: int, demand: ModelDemand, statuses: list[EngineStatus]
 ) -> _ModelPlan:
     in_use = _in_use(model, demand, statuses)
-    floor = max(target - demand.slack, demand.minimum_version)
+    floor = max(target - demand.max_version_lag, demand.minimum_version)
     usable = sum(1 for one in in_use if one.version >= floor and not one.avoided)
     plan = _ModelPlan(model, target, len(in_use), usable)
-    quota = -(-len(in_use) // (demand.slack + 1))
+    quota = -(-len(in_use) // (demand.max_version_lag + 1))
     quota -= sum(1 for one in in_use if one.version >= target)
     behind = [one for one in in_use if one.version < target]
     behind.sort(key=lambda one: (one.version, one.running))
--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -216,10 +216,12 @@
             if state.job.model == model and not state.ended and not state.complete
         ]
         latest = self._latest_accepted.get(model)
-        slack = 0 if latest is None else max(0, latest.newest_version - latest.minimum_version)
+        max_version_lag = (
+            0 if latest is None else max(0, latest.newest_version - latest.minimum_version)
+        )
         items = max(self._recent_item_counts.get(model, ()), default=None)
         pressed = self._scheduler.pressed(model)
-        return ModelDemand(max(open_jobs, default=0), slack, items, pressed)
+        return ModelDemand(max(open_jobs, default=0), max_version_lag, items, pressed)
 
     def page(self, state: JobState, position: int, wait: float, max_bytes: int) -> ResultPage:
         """Return results from a position on, waiting up to ``wait`` seconds for the first."""
--- a/tests/coordination/test_rollout_plan.py
+++ b/tests/coordination/test_rollout_plan.py
@@ -25,7 +25,7 @@
         self.have = {}
         self.avoided = set()
         self.items = 100
-        self.slack = 1
+        self.max_version_lag = 1
 
     def standing(self, state, model):
         avoided = state.backend_id in self.avoided
@@ -33,7 +33,7 @@
         return EngineStatus(state, version, 0, not avoided, avoided)
 
     def plan(self, loading=0):
-        demand = ModelDemand(0, self.slack, self.items, False)
+        demand = ModelDemand(0, self.max_version_lag, self.items, False)
         available_loads = LoadPacing(0.9).available_loads(len(self.engines), loading)
         return plan_changes(
             self.engines, self.versions, lambda model: demand, self.standing, available_loads
@@ -71,7 +71,7 @@
     def test_models_prefer_different_engines(self):
         """With few items per model, all models would otherwise use the same engines."""
         self.items = 16
-        self.slack = 0
+        self.max_version_lag = 0
         used = set()
         for model in MODELS:
             self.versions = {model: 2}
@@ -80,7 +80,7 @@
 
     def test_failing_engines_are_not_counted(self):
         self.items = 16
-        self.slack = 0
+        self.max_version_lag = 0
         self.versions = {"draft": 2}
         preferred = {change.state.backend_id for change in self.plan()}
         self.avoided = preferred
--- a/tests/coordination/test_version_rollout.py
+++ b/tests/coordination/test_version_rollout.py
@@ -125,7 +125,7 @@
 
 
 class VersionRolloutTest(unittest.TestCase):
-    def _start(self, count, models=("m",), slack=0):
+    def _start(self, count, models=("m",), max_version_lag=0):
         self.engines = [Engine(f"engine-{n}", models) for n in range(count)]
         self.directory = BackendDirectory()
         for engine in self.engines:
@@ -147,7 +147,9 @@
             "node",
             lambda: configuration,
             self.targets,
-            lambda model: ModelDemand(self.minimum.get(model, 0), slack, self.items, self.pressed),
+            lambda model: ModelDemand(
+                self.minimum.get(model, 0), max_version_lag, self.items, self.pressed
+            ),
             lambda backend_id, model, version: self.reached.append((backend_id, version)),
             lambda backend_id: 0,
         )
@@ -176,7 +178,7 @@
         self.assertEqual([len(engine.orders) for engine in self.engines], [1, 1, 1, 1])
 
     def test_with_slack_half_of_the_engines_change_per_version(self):
-        self._start(4, slack=1)
+        self._start(4, max_version_lag=1)
         self._publish(2)
         self._wait_versions(1, 1, 2, 2)
         self._publish(3)
@@ -186,7 +188,7 @@
         self.assertEqual(sum(len(engine.orders) for engine in self.engines), 6)
 
     def test_engines_that_jobs_no_longer_accept_change(self):
-        self._start(4, slack=1)
+        self._start(4, max_version_lag=1)
         self.minimum["m"] = 2
         self._publish(2)
         self._wait_versions(2, 2, 2, 2)
