--- a/src/runkeel/coordination/document_feed.py
+++ b/src/runkeel/coordination/document_feed.py
@@ -43,7 +43,7 @@
 """Upper bound of the time for which a follower may request that a reply is held."""
 
 
-def fresh_seconds(propagation_seconds: float) -> float:
+def max_copy_age_seconds(propagation_seconds: float) -> float:
     """Return the maximum age of the coordinator's copy, in seconds."""
     return min(MAX_COPY_AGE_SECONDS, MAX_COPY_AGE_SHARE * propagation_seconds)
 
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -25,7 +25,7 @@
 from runkeel.coordination.document_feed import (
     DocumentFeed,
     coordinator_watch_seconds,
-    fresh_seconds,
+    max_copy_age_seconds,
 )
 from runkeel.coordination.election import Candidate, Election
 from runkeel.coordination.feed_follower import FeedFollower, grace_seconds, wait_seconds
@@ -190,7 +190,7 @@
             SHARD,
             lambda: self._election.other_coordinator,
             wait_seconds(settings.news_seconds),
-            grace_seconds(settings.news_seconds, fresh_seconds(settings.news_seconds)),
+            grace_seconds(settings.news_seconds, max_copy_age_seconds(settings.news_seconds)),
             lambda address, epoch: self._election.note_successor(address, epoch),
         )
         self._election = Election(
@@ -230,7 +230,7 @@
             self._network,
             self._followed,
             lambda: self._election.coordinating_since,
-            fresh_seconds(settings.news_seconds),
+            max_copy_age_seconds(settings.news_seconds),
             lambda: self._election.known_successor,
         )
         self._routing_watcher.on_change(self._feed.note)
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -168,7 +168,7 @@
     def test_store_is_read_after_the_grace_period(self):
         """The age of the copy plus the grace period must stay below the propagation time."""
         propagation = 4.0
-        fresh = document_feed.fresh_seconds(propagation)
+        fresh = document_feed.max_copy_age_seconds(propagation)
         held = feed_follower.wait_seconds(propagation) + feed_follower.ANSWER_TIMEOUT_SECONDS
         grace = feed_follower.grace_seconds(propagation, fresh)
         self.assertGreater(grace, 1.0)
@@ -180,7 +180,9 @@
         self.assertFalse(node.following)
 
     def test_no_grace_period_for_a_short_propagation_time(self):
-        self.assertEqual(feed_follower.grace_seconds(2.0, document_feed.fresh_seconds(2.0)), 0.0)
+        self.assertEqual(
+            feed_follower.grace_seconds(2.0, document_feed.max_copy_age_seconds(2.0)), 0.0
+        )
 
     def test_replaced_coordinator_reports_its_successor(self):
         """Otherwise each node would read the store to find the new coordinator."""
