--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -99,7 +99,7 @@
 NODE_BATCHING_FRACTION = 0.65
 """Batching interval for changes of back ends on a node that does not coordinate.
 
-A fraction of ``FleetSettings.news_seconds``.
+A fraction of ``FleetSettings.max_propagation_seconds``.
 """
 
 
@@ -114,7 +114,7 @@
         order_pause_seconds: minimum time between orders to engines from two different nodes.
         preferred_coordinator: whether this node is preferred over nodes that serve clients when a
             coordinator is elected.
-        news_seconds: maximum time until all nodes know a change of configuration or back ends.
+        max_propagation_seconds: maximum time until all nodes know a change of configuration or back ends.
         data_folder: folder on the local disk; None if this machine is not a storage node.
         first_start: whether the whole system starts for the first time, without a coordinator.
         usage: settings of the usage reports; None if the platform wants none.
@@ -130,7 +130,7 @@
     incarnation: int
     order_pause_seconds: float = 3.0
     preferred_coordinator: bool = False
-    news_seconds: float = 2.0
+    max_propagation_seconds: float = 2.0
     data_folder: Path | None = None
     first_start: bool = False
     usage: UsageSettings | None = None
@@ -189,8 +189,11 @@
             self._network,
             SHARD,
             lambda: self._election.other_coordinator,
-            wait_seconds(settings.news_seconds),
-            grace_seconds(settings.news_seconds, max_copy_age_seconds(settings.news_seconds)),
+            wait_seconds(settings.max_propagation_seconds),
+            grace_seconds(
+                settings.max_propagation_seconds,
+                max_copy_age_seconds(settings.max_propagation_seconds),
+            ),
             lambda address, epoch: self._election.note_successor(address, epoch),
         )
         self._election = Election(
@@ -230,7 +233,7 @@
             self._network,
             self._followed,
             lambda: self._election.coordinating_since,
-            max_copy_age_seconds(settings.news_seconds),
+            max_copy_age_seconds(settings.max_propagation_seconds),
             lambda: self._election.known_successor,
         )
         self._routing_watcher.on_change(self._feed.note)
@@ -412,13 +415,13 @@
 
     def _watch_seconds(self) -> float:
         if self.coordinating:
-            return coordinator_watch_seconds(self._settings.news_seconds)
+            return coordinator_watch_seconds(self._settings.max_propagation_seconds)
         return NODE_WATCH_SECONDS
 
     def _backend_batching_seconds(self) -> float:
         if self.coordinating:
             return COORDINATOR_BATCHING_SECONDS
-        return NODE_BATCHING_FRACTION * self._settings.news_seconds
+        return NODE_BATCHING_FRACTION * self._settings.max_propagation_seconds
 
     def _on_routing_changed(self, document: Document, removed: bool) -> None:
         if not removed:
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -65,7 +65,7 @@
             ({}, 2.0),
         ):
             settings = self._load(self._changed(Bounds={**bounds, **given}))
-            self.assertEqual(settings.fleet.news_seconds, seconds)
+            self.assertEqual(settings.fleet.max_propagation_seconds, seconds)
 
     def test_each_wrong_field_is_named(self):
         for change, key in (
