--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -387,7 +387,7 @@
         """Hand over coordination before this node stops."""
         self._election.leave()
 
-    def tell_usage(self) -> None:
+    def flush_usage(self) -> None:
         """Send the last usage counts to the coordinator before this node stops."""
         if self._settings.usage is not None:
             self._usage_reporter.flush()
