--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -340,7 +340,7 @@
         """Return the jobs of this node's term; empty if it does not coordinate."""
         return self._term.jobs.all() if self._term is not None else []
 
-    def named_versions(self) -> dict[str, int]:
+    def newest_versions(self) -> dict[str, int]:
         """Return the newest version by model; empty if this node does not coordinate."""
         return dict(self._term.targets) if self._term is not None else {}
 
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -163,7 +163,7 @@
         ]
 
     def _version_rows(self) -> list[Row]:
-        return list(self._node.named_versions().items())
+        return list(self._node.newest_versions().items())
 
     def _tenant_rows(self) -> list[Row]:
         configuration = self._node.routing.configuration
