--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -59,7 +59,7 @@
 from runkeel.usage.clock import SteadyWallClock
 from runkeel.usage.ledger import WindowSummary
 from runkeel.usage.meter import UsageMeter
-from runkeel.usage.teller import UsageTeller
+from runkeel.usage.teller import UsageReporter
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import (
     ItemRunProgress,
@@ -297,7 +297,7 @@
             self.leave,
             UsageDependencies(usage, duties, clock.time) if usage and duties else None,
         )
-        self._usage_reporter = UsageTeller(
+        self._usage_reporter = UsageReporter(
             self._network,
             SHARD,
             f"{settings.node_id}@{settings.incarnation}",
--- a/src/runkeel/usage/teller.py
+++ b/src/runkeel/usage/teller.py
@@ -32,7 +32,7 @@
 """A node without counts in this many recent windows sends no updates."""
 
 
-class UsageTeller:
+class UsageReporter:
     """Task that sends the coordinator the counts that it has not acknowledged.
 
     Args:
