--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -228,10 +228,10 @@
         )
         self._backend_watcher.on_unreadable(self._on_backend_unreadable)
         self._watchers = [self._routing_watcher, self._backend_watcher]
-        self._followed = [*self._watchers, self._election.watcher]
+        self._followed_watchers = [*self._watchers, self._election.watcher]
         self._feed = DocumentFeed(
             self._network,
-            self._followed,
+            self._followed_watchers,
             lambda: self._election.coordinating_since,
             max_copy_age_seconds(settings.max_propagation_seconds),
             lambda: self._election.known_successor,
@@ -372,7 +372,7 @@
             watcher.start()
         delay = self._first_election_delay_seconds()
         self._election.start(self._network.address, delay)
-        self._follower.start(self._followed, delay)
+        self._follower.start(self._followed_watchers, delay)
         self.hints.start()
         self._quarantine.start(self._settings.first_start)
         if self._settings.usage is not None:
--- a/tests/users_platform/test_tenants.py
+++ b/tests/users_platform/test_tenants.py
@@ -169,7 +169,7 @@
         kept = [
             json.dumps(document.content)
             for name in deployment.node_names
-            for watcher in deployment.node(name).node._followed
+            for watcher in deployment.node(name).node._followed_watchers
             for document in watcher.documents.values()
         ]
         self.assertTrue(stored and kept and lines)
