--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -9,14 +9,14 @@
 from hypothesis import seed, settings
 from hypothesis.stateful import RuleBasedStateMachine, run_state_machine_as_test
 
-SEEDS = 12
+SEED_COUNT = 12
 
 
 def find_violation(
     machine_class: type[RuleBasedStateMachine], options: settings
 ) -> BaseException | None:
     """Run with successive seeds; return the first assertion violation, or None."""
-    for number in range(SEEDS):
+    for number in range(SEED_COUNT):
         seeded = seed(number)(type(machine_class.__name__, (machine_class,), {}))
         try:
             run_state_machine_as_test(seeded, settings=options)
--- a/tests/handoff/test_keeper_quorum.py
+++ b/tests/handoff/test_keeper_quorum.py
@@ -7,7 +7,7 @@
 from hypothesis import given, seed, settings
 
 from runkeel.handoff.keeper_quorum import Keeper, KeeperQuorum, LossTolerance
-from tests.fuzzing import SEEDS
+from tests.fuzzing import SEED_COUNT
 
 ZONES = ("a", "b", "c", "d")
 REGIONS = {"a": "r", "b": "r", "c": "s", "d": "s"}
@@ -93,7 +93,7 @@
 
     def finds(self, trusted=lambda heard, wiped: heard - wiped):
         """Return whether some seed's examples violate the rule."""
-        for number in range(SEEDS):
+        for number in range(SEED_COUNT):
             run = seed(number)(OPTIONS(given(scenarios())(lambda one: self.check(one, trusted))))
             try:
                 run()
