--- a/src/runkeel/quarantine/crash_ledger.py
+++ b/src/runkeel/quarantine/crash_ledger.py
@@ -10,7 +10,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.quarantine.crash_record import CrashRecord, merge
 
-MAXIMUM_RECORDS = 1_024
+MAX_RECORDS = 1_024
 """Maximum number of records; above it the record with the lowest retention priority is evicted."""
 
 SUSPECT_RETENTION_SECONDS = 600.0
@@ -43,7 +43,7 @@
     """
 
     def __init__(
-        self, now: Callable[[], float] = steady_seconds, maximum: int = MAXIMUM_RECORDS
+        self, now: Callable[[], float] = steady_seconds, maximum: int = MAX_RECORDS
     ) -> None:
         self._now = now
         self._maximum = maximum
--- a/src/runkeel/quarantine/gossip.py
+++ b/src/runkeel/quarantine/gossip.py
@@ -15,7 +15,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
-from runkeel.quarantine.crash_ledger import MAXIMUM_RECORDS, CrashLedger
+from runkeel.quarantine.crash_ledger import MAX_RECORDS, CrashLedger
 from runkeel.quarantine.crash_record import CrashRecord, from_wire, to_wire
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.quarantine.ttypes import QuarantineNews, QuarantineNewsReply
@@ -130,7 +130,7 @@
                 continue
             pending = self._pending.setdefault(neighbour, set())
             pending.add(record.fingerprint)
-            if len(pending) > 2 * MAXIMUM_RECORDS:
+            if len(pending) > 2 * MAX_RECORDS:
                 pending.intersection_update({one.fingerprint for one in self._ledger.records()})
             if neighbour not in self._send_tasks:
                 self._send_tasks[neighbour] = gevent.spawn(self._send_pending, neighbour)
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -16,7 +16,7 @@
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 from runkeel.gateway.backends import BackendState
 from runkeel.metrics import QUARANTINE_RECORDS, QUARANTINE_REFUSALS, SERVERS_ENDED
-from runkeel.quarantine.crash_ledger import MAXIMUM_RECORDS, CrashLedger
+from runkeel.quarantine.crash_ledger import MAX_RECORDS, CrashLedger
 from runkeel.quarantine.crash_record import CrashRecord
 from runkeel.quarantine.fingerprint import Fingerprinter
 from runkeel.quarantine.server_ends import CrashDetector, CrashEvidence, LostConnection
@@ -108,7 +108,7 @@
         expires_at = now + min(answer.retry_after_seconds, MAX_DENIAL_CACHE_SECONDS)
         retry_at = now + answer.retry_after_seconds
         self._denials[record.fingerprint] = _Denial(record.digest, expires_at, retry_at)
-        if len(self._denials) > MAXIMUM_RECORDS:
+        if len(self._denials) > MAX_RECORDS:
             self._denials.pop(next(iter(self._denials)))
         return answer
 
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -27,7 +27,7 @@
 from runkeel.jobs.engine_placement import EnginePlacement
 from runkeel.jobs.job_state import JobState
 from runkeel.jobs.scheduler import Scheduler
-from runkeel.quarantine.crash_ledger import MAXIMUM_RECORDS
+from runkeel.quarantine.crash_ledger import MAX_RECORDS
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.quarantine.trials import TrialAnswer
 
@@ -97,7 +97,7 @@
         _ = quarantine.watch(identify, _SERVICE, request.request_id).held
 
     costs = []
-    for records in (0, 1, MAXIMUM_RECORDS):
+    for records in (0, 1, MAX_RECORDS):
         for number in range(records):
             quarantine.ledger.note_ended(f"{number:032x}", _SERVICE, "server")
         costs.append(_cost("look at the quarantine", records, 0, look))
--- a/tests/quarantine/test_gossip.py
+++ b/tests/quarantine/test_gossip.py
@@ -6,7 +6,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.quarantine import gossip
-from runkeel.quarantine.crash_ledger import MAXIMUM_RECORDS, CrashLedger
+from runkeel.quarantine.crash_ledger import MAX_RECORDS, CrashLedger
 from runkeel.quarantine.gossip import QuarantineGossip
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
@@ -119,12 +119,12 @@
         self.network.register("b", gossip.MessageType.QUARANTINE_NEWS, counting_receive)
         for number in range(4_200):
             self.crash_servers("a", f"s{number % 700}", fingerprint=f"f{number}")
-        self.assertLessEqual(len(self.gossips["a"]._pending["b"]), 2 * MAXIMUM_RECORDS)
+        self.assertLessEqual(len(self.gossips["a"]._pending["b"]), 2 * MAX_RECORDS)
         self.wait_until(lambda: not self.gossips["a"]._pending)
-        self.assertLessEqual(sum(size for _, size in messages), 2 * MAXIMUM_RECORDS)
+        self.assertLessEqual(sum(size for _, size in messages), 2 * MAX_RECORDS)
         seconds = messages[-1][0] - messages[0][0]
         self.assertGreaterEqual(seconds, gossip.MIN_MESSAGE_INTERVAL_SECONDS * (len(messages) - 1))
-        self.assertEqual(len(self.ledgers["c"]), MAXIMUM_RECORDS)
+        self.assertEqual(len(self.ledgers["c"]), MAX_RECORDS)
 
 
 if __name__ == "__main__":
