--- a/src/runkeel/quarantine/crash_record.py
+++ b/src/runkeel/quarantine/crash_record.py
@@ -11,7 +11,7 @@
 
 from runkeel.wire.generated.quarantine.ttypes import CrashNews
 
-ENDS_UNTIL_HELD = 3
+QUARANTINE_THRESHOLD = 3
 """Number of servers that must crash under a request before it is quarantined.
 
 A success clears the count, so unrelated crashes rarely add up to it.
@@ -47,7 +47,7 @@
     @property
     def held(self) -> bool:
         """Whether the request is quarantined: only trials are sent to servers."""
-        return len(self.ended) >= ENDS_UNTIL_HELD
+        return len(self.ended) >= QUARANTINE_THRESHOLD
 
     @property
     def trials_used(self) -> int:
