--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -26,7 +26,7 @@
 TRIAL_CALL_TIMEOUT_SECONDS = 0.3
 """Time-out of a call that asks the coordinator for a trial."""
 
-CATCH_UP_SECONDS = 1.5
+CATCH_UP_TIMEOUT_SECONDS = 1.5
 """A starting node that knows routes and servers for this long serves requests even if it has not
 received the crash records. They normally arrive within milliseconds after the routes.
 """
@@ -54,7 +54,7 @@
 
     Attributes:
         caught_up: set once this node has the crash records of the other nodes, or has known the
-            routes for :data:`CATCH_UP_SECONDS` without receiving them.
+            routes for :data:`CATCH_UP_TIMEOUT_SECONDS` without receiving them.
     """
 
     def __init__(
@@ -146,7 +146,7 @@
                 now = steady_seconds()
                 if not self._knows_routes():
                     routes_unknown_at = now
-                elif now - routes_unknown_at >= CATCH_UP_SECONDS:
+                elif now - routes_unknown_at >= CATCH_UP_TIMEOUT_SECONDS:
                     self.caught_up.set()
                 gevent.sleep(CATCH_UP_POLL_SECONDS)
         finally:
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -19,7 +19,7 @@
 
 import gevent
 
-from runkeel.quarantine.service import CATCH_UP_SECONDS
+from runkeel.quarantine.service import CATCH_UP_TIMEOUT_SECONDS
 from runkeel_lab.users_platform.deployment import (
     APPLICATION,
     CHAT_PREFIX,
@@ -132,7 +132,7 @@
         for name in (*disks, "edge-0"):
             self.deployment.kill_node(name)
         self.deployment.start_node("edge-0")
-        gevent.sleep(CATCH_UP_SECONDS + 1.0)
+        gevent.sleep(CATCH_UP_TIMEOUT_SECONDS + 1.0)
         before = len(self.plan.reached)
         self.deployment.store.silent = False
         self.wait(lambda: self.deployment.node("edge-0").node.configured)
