--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -62,7 +62,7 @@
         needed: set while the store must be queried; None if it always must.
         resting_probe_seconds: interval at which a failed store is probed while it need not be
             queried.
-        lapse_seconds: how long documents that expired during an outage are retained after it, as
+        expiry_grace_seconds: how long documents that expired during an outage are retained after it, as
             live owners write them again.
         returned_at: returns the steady time, in seconds, at which the store recovered from the
             last such outage.
@@ -87,7 +87,7 @@
         pause_seconds: Callable[[], float] = lambda: 0.0,
         watch_seconds: Callable[[], float] = lambda: WATCH_SECONDS,
         needed: Event | None = None,
-        lapse_seconds: float = 0.0,
+        expiry_grace_seconds: float = 0.0,
         returned_at: Callable[[], float] = lambda: 0.0,
         resting_probe_seconds: float = RESTING_PROBE_SECONDS,
         first_list: Freshness = Freshness.CURRENT,
@@ -96,7 +96,7 @@
         self._resting_probe_seconds = resting_probe_seconds
         self._store = store
         self._kind = kind
-        self._lapsed = LapsedDocuments(kind, lapse_seconds, returned_at, self._remove)
+        self._lapsed = LapsedDocuments(kind, expiry_grace_seconds, returned_at, self._remove)
         self._needed = needed
         self._listeners = [on_change]
         self._return_listeners: list[Callable[[Document], None]] = []
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -241,7 +241,9 @@
         listed = tuple(Document(KIND, name, at, 1) for name, at in documents)
         return DocumentPage(KIND, revision, whole, listed, removed)
 
-    def _recover_with_missing_documents(self, lapse_seconds, outage_seconds, compacted=False):
+    def _recover_with_missing_documents(
+        self, expiry_grace_seconds, outage_seconds, compacted=False
+    ):
         """Remove documents during an outage; returns the watcher once the store has recovered."""
         observed = ObservedStore(self.store, lambda: 0.01)
         watcher = DocumentWatcher(
@@ -249,7 +251,7 @@
             KIND,
             self._record_change,
             watch_seconds=lambda: 0.02,
-            lapse_seconds=lapse_seconds,
+            expiry_grace_seconds=expiry_grace_seconds,
             returned_at=lambda: observed.returned_at,
         )
         self.addCleanup(watcher.stop)
--- a/tests/coordination/lapse_machine.py
+++ b/tests/coordination/lapse_machine.py
@@ -40,7 +40,7 @@
             KIND,
             self._changed,
             watch_seconds=lambda: 0.0,
-            lapse_seconds=FOREVER_SECONDS,
+            expiry_grace_seconds=FOREVER_SECONDS,
             returned_at=lambda: self.returned_at,
         )
         self.watcher.fresh_at = steady_seconds()
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -51,7 +51,7 @@
             self._changed,
             watch_seconds=lambda: WATCH_SECONDS,
             needed=self.follower.store_needed,
-            lapse_seconds=retention,
+            expiry_grace_seconds=retention,
             returned_at=lambda: self.returned_at,
         )
         self.feed = DocumentFeed(
