--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -22,7 +22,7 @@
 )
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
-from runkeel.state.lapsed_documents import LapsedDocuments
+from runkeel.state.lapsed_documents import ExpiredDocuments
 from runkeel.state.name_digest import NameDigest
 from runkeel.state.unreadable_documents import UnreadableDocuments
 
@@ -96,7 +96,7 @@
         self._resting_probe_seconds = resting_probe_seconds
         self._store = store
         self._kind = kind
-        self._lapsed = LapsedDocuments(kind, expiry_grace_seconds, returned_at, self._remove)
+        self._lapsed = ExpiredDocuments(kind, expiry_grace_seconds, returned_at, self._remove)
         self._needed = needed
         self._listeners = [on_change]
         self._return_listeners: list[Callable[[Document], None]] = []
--- a/src/runkeel/state/lapsed_documents.py
+++ b/src/runkeel/state/lapsed_documents.py
@@ -14,7 +14,7 @@
 """Maximum number of document names in a log line."""
 
 
-class LapsedDocuments:
+class ExpiredDocuments:
     """Tracks documents of one kind that are missing from the store since an outage.
 
     A document that needs heartbeats expires during an outage although its owner is alive. Live
--- a/tests/coordination/test_lapse_fuzz.py
+++ b/tests/coordination/test_lapse_fuzz.py
@@ -7,7 +7,7 @@
 
 from runkeel.coordination.copy_comparison import CopyComparison
 from runkeel.state.document_watcher import DocumentWatcher
-from runkeel.state.lapsed_documents import LapsedDocuments
+from runkeel.state.lapsed_documents import ExpiredDocuments
 from tests.coordination.lapse_machine import ExpiryMachine
 from tests.coordination.test_feed_fuzz import EXAMPLES, MUTANT_EXAMPLES, fuzz_settings
 from tests.fuzzing import find_violation
@@ -29,7 +29,7 @@
         self.check_found(CopyComparison, "compare", lambda self, watcher, theirs: None)
 
     def test_servers_that_are_never_dropped_are_found(self):
-        self.check_found(LapsedDocuments, "_expire", lambda self, ends_at: None)
+        self.check_found(ExpiredDocuments, "_expire", lambda self, ends_at: None)
 
 
 if __name__ == "__main__":
