--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -223,7 +223,7 @@
             self._watch_seconds,
             self._follower.store_needed,
             LAPSE_SECONDS,
-            lambda: store.returned_at,
+            lambda: store.recovered_at,
             first_list=Freshness.ANY_AGE,
         )
         self._backend_watcher.on_unreadable(self._on_backend_unreadable)
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -64,7 +64,7 @@
             queried.
         expiry_grace_seconds: how long documents that expired during an outage are retained after it, as
             live owners write them again.
-        returned_at: returns the steady time, in seconds, at which the store recovered from the
+        recovered_at: returns the steady time, in seconds, at which the store recovered from the
             last such outage.
         first_list: required freshness of the first list. Any age is sufficient if the caller waits
             for the watch that follows, which returns all later changes at once.
@@ -88,7 +88,7 @@
         watch_seconds: Callable[[], float] = lambda: WATCH_SECONDS,
         needed: Event | None = None,
         expiry_grace_seconds: float = 0.0,
-        returned_at: Callable[[], float] = lambda: 0.0,
+        recovered_at: Callable[[], float] = lambda: 0.0,
         resting_probe_seconds: float = RESTING_PROBE_SECONDS,
         first_list: Freshness = Freshness.CURRENT,
     ) -> None:
@@ -96,7 +96,7 @@
         self._resting_probe_seconds = resting_probe_seconds
         self._store = store
         self._kind = kind
-        self._lapsed = ExpiredDocuments(kind, expiry_grace_seconds, returned_at, self._remove)
+        self._lapsed = ExpiredDocuments(kind, expiry_grace_seconds, recovered_at, self._remove)
         self._needed = needed
         self._listeners = [on_change]
         self._return_listeners: list[Callable[[Document], None]] = []
--- a/src/runkeel/state/lapsed_documents.py
+++ b/src/runkeel/state/lapsed_documents.py
@@ -24,7 +24,7 @@
     Args:
         grace_seconds: how long documents are retained after the end of an outage; 0 disables
             retention.
-        returned_at: returns the steady time, in seconds, at which the store recovered from the
+        recovered_at: returns the steady time, in seconds, at which the store recovered from the
             last outage long enough for documents to expire; 0 before the first one. It is
             determined per node, not per watcher, because all tasks of a node take turns probing a
             failed store.
@@ -35,12 +35,12 @@
         self,
         kind: DocumentKind,
         grace_seconds: float,
-        returned_at: Callable[[], float],
+        recovered_at: Callable[[], float],
         remove: Callable[[str], None],
     ) -> None:
         self._kind = kind
         self._grace_seconds = grace_seconds
-        self._returned_at = returned_at
+        self._returned_at = recovered_at
         self._remove = remove
         self._retained: set[str] = set()
         self._ends_at = 0.0
@@ -48,10 +48,10 @@
 
     def retain(self, name: str) -> bool:
         """Retain a document missing from the store; returns False if it must be removed."""
-        returned_at = self._returned_at()
-        grace_ends_at = returned_at + self._grace_seconds
+        recovered_at = self._returned_at()
+        grace_ends_at = recovered_at + self._grace_seconds
         now = steady_seconds()
-        if not returned_at or now >= grace_ends_at:
+        if not recovered_at or now >= grace_ends_at:
             return False
         if grace_ends_at > self._ends_at:
             self._ends_at = grace_ends_at
--- a/src/runkeel/state/observed_store.py
+++ b/src/runkeel/state/observed_store.py
@@ -58,7 +58,7 @@
     Attributes:
         failing_since: steady time, in seconds, of the first failure after the last response; 0 if
             the last call got a response.
-        returned_at: steady time, in seconds, of the first response after the last outage that was
+        recovered_at: steady time, in seconds, of the first response after the last outage that was
             long enough for documents to expire; 0 before the first one.
     """
 
@@ -70,7 +70,7 @@
         self._store = store
         self._probe_interval_seconds = probe_interval_seconds
         self.failing_since = 0.0
-        self.returned_at = 0.0
+        self.recovered_at = 0.0
         self._failed_at = 0.0
         self._next_probe_at = 0.0
         self._recovered = Event()
@@ -185,4 +185,4 @@
         long_enough = now - self.failing_since >= OUTAGE_SECONDS
         span_long_enough = self._failed_at - self.failing_since >= MIN_FAILURE_SPAN_SECONDS
         if long_enough and span_long_enough and now - self._failed_at <= MAX_FAILURE_AGE_SECONDS:
-            self.returned_at = now
+            self.recovered_at = now
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -252,7 +252,7 @@
             self._record_change,
             watch_seconds=lambda: 0.02,
             expiry_grace_seconds=expiry_grace_seconds,
-            returned_at=lambda: observed.returned_at,
+            recovered_at=lambda: observed.recovered_at,
         )
         self.addCleanup(watcher.stop)
         for name in ("a", "b"):
--- a/tests/base/test_observed_store.py
+++ b/tests/base/test_observed_store.py
@@ -50,7 +50,7 @@
         self.store._failed_at = now - ended_ago - quiet_seconds
         self.memory.down = False
         self.store.get(DocumentKind.JOB, "x")
-        return self.store.returned_at >= now
+        return self.store.recovered_at >= now
 
     def test_recovery_after_an_outage_is_recorded(self):
         """All copies of a node must agree on the recovery, or some drop what others retain."""
--- a/tests/coordination/lapse_machine.py
+++ b/tests/coordination/lapse_machine.py
@@ -33,7 +33,7 @@
     """A node's copy and feed; it passes on only changes of its own copy."""
 
     def __init__(self, store, now):
-        self.returned_at = 0.0
+        self.recovered_at = 0.0
         self.states = {}
         self.watcher = DocumentWatcher(
             store,
@@ -41,7 +41,7 @@
             self._changed,
             watch_seconds=lambda: 0.0,
             expiry_grace_seconds=FOREVER_SECONDS,
-            returned_at=lambda: self.returned_at,
+            recovered_at=lambda: self.recovered_at,
         )
         self.watcher.fresh_at = steady_seconds()
         self.feed = DocumentFeed(_NoNetwork(), [self.watcher], lambda: 0.0, FOREVER_SECONDS)
@@ -68,7 +68,7 @@
     def drop_expired(self):
         """Drop the expired servers that are still kept."""
         self.watcher._lapsed._expire(self.watcher._lapsed._ends_at)
-        self.returned_at = 0.0
+        self.recovered_at = 0.0
 
     def follow(self, coordinator):
         revision = self.comparison.revision_to_read_from(self.watcher)
@@ -125,7 +125,7 @@
     def read_store(self, number, after_outage):
         """Have a node read the store; it keeps expired servers if it has seen an outage."""
         if after_outage:
-            self.nodes[number].returned_at = steady_seconds()
+            self.nodes[number].recovered_at = steady_seconds()
         self.nodes[number].read_store()
 
     @rule(number=strategies.integers(0, FOLLOWERS - 1))
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -32,7 +32,7 @@
 
     def __init__(self, network, store, name, grace=0.0, retention=0.0):
         self.name = name
-        self.returned_at = 0.0
+        self.recovered_at = 0.0
         self.coordinator = None
         self.since = None
         self.successor = None
@@ -52,7 +52,7 @@
             watch_seconds=lambda: WATCH_SECONDS,
             needed=self.follower.store_needed,
             expiry_grace_seconds=retention,
-            returned_at=lambda: self.returned_at,
+            recovered_at=lambda: self.recovered_at,
         )
         self.feed = DocumentFeed(
             peers, [self.watcher], lambda: self.since, successor=lambda: self.successor
@@ -382,7 +382,7 @@
 
     def see_outage(self):
         """Make this node see the end of a store outage now."""
-        self.returned_at = steady_seconds()
+        self.recovered_at = steady_seconds()
 
 
 class _StoreConnection:
