--- a/src/runkeel/coordination/document_feed.py
+++ b/src/runkeel/coordination/document_feed.py
@@ -112,7 +112,7 @@
         # A document that expired in an outage and came back is no change in a copy that kept it
         # meanwhile, but nodes that read the store themselves may have dropped it.
         for watcher in watchers:
-            watcher.on_return(lambda document: self.note(document, removed=False))
+            watcher.on_reappearance(lambda document: self.note(document, removed=False))
         self._coordinating_since = coordinating_since
         self._max_copy_age = max_copy_age
         self._changed = Event()
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -136,7 +136,7 @@
         """Register a further listener; listeners are called in order of registration."""
         self._listeners.append(listener)
 
-    def on_return(self, listener: Callable[[Document], None]) -> None:
+    def on_reappearance(self, listener: Callable[[Document], None]) -> None:
         """Register a listener for documents that expired, were retained, and were written again.
 
         To change listeners they may look unchanged, because the copy never removed them.
--- a/tests/coordination/test_lapse_fuzz.py
+++ b/tests/coordination/test_lapse_fuzz.py
@@ -23,7 +23,7 @@
         self.assertIsNotNone(violation)
 
     def test_unnotified_returns_are_found(self):
-        self.check_found(DocumentWatcher, "on_return", lambda self, listener: None)
+        self.check_found(DocumentWatcher, "on_reappearance", lambda self, listener: None)
 
     def test_missing_comparison_of_copies_is_found(self):
         self.check_found(CopyComparison, "compare", lambda self, watcher, theirs: None)
