--- a/src/runkeel/coordination/document_feed.py
+++ b/src/runkeel/coordination/document_feed.py
@@ -173,7 +173,7 @@
         return FeedState.CURRENT
 
     def _confirmed_at(self) -> float:
-        return min(feed.watcher.fresh_at for feed in self._kinds.values())
+        return min(feed.watcher.current_as_of for feed in self._kinds.values())
 
     def _on_read(self, peer: str, message: FeedRead) -> tuple[int, FeedReadReply]:
         reply = self.read(message.revisions, message.wait_ms / 1000.0)
--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -270,7 +270,7 @@
     @property
     def verified(self) -> bool:
         """Whether the store has confirmed recently that this node is the coordinator."""
-        age = steady_seconds() - max(self._watcher.fresh_at, self._coordinating_since)
+        age = steady_seconds() - max(self._watcher.current_as_of, self._coordinating_since)
         return self.coordinating and age <= VERIFICATION_VALID_SECONDS
 
     def note_successor(self, address: NodeAddress, epoch: int) -> None:
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -76,7 +76,7 @@
             created and removed before, between two lists, may have been missed.
         removals: names removed since then, each with the revision at which it was noticed.
         listed: set once the first list or page has been applied.
-        fresh_at: steady time, in seconds, at which the copy was last known to equal the store.
+        current_as_of: steady time, in seconds, at which the copy was last known to equal the store.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         self.documents: dict[str, Document] = {}
         self._names = NameDigest()
         self.listed = Event()
-        self.fresh_at = 0.0
+        self.current_as_of = 0.0
 
     @property
     def reachable(self) -> bool:
@@ -332,7 +332,7 @@
         now = steady_seconds()
         # A response that took much longer may have been buffered while the process was paused.
         on_time = now - started <= self._watch_seconds() + MAX_WATCH_OVERRUN_SECONDS
-        self.fresh_at = now if on_time else started
+        self.current_as_of = now if on_time else started
 
     def _on_failure(self, error: RunkeelError) -> None:
         if not self._failures:
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -74,8 +74,8 @@
         self.store.put(KIND, "a", 1)
         self._start_with_stale_list()
         self.watcher.listed.wait(WAIT_TIMEOUT_SECONDS)
-        self.assertEqual(self.watcher.fresh_at, 0.0)
-        self._wait_until(lambda: self.watcher.fresh_at)
+        self.assertEqual(self.watcher.current_as_of, 0.0)
+        self._wait_until(lambda: self.watcher.current_as_of)
         self.assertEqual(sorted(self.watcher.documents), ["a"])
 
     def test_current_list_follows_if_history_after_a_stale_list_is_compacted(self):
--- a/tests/coordination/feed_machine.py
+++ b/tests/coordination/feed_machine.py
@@ -41,7 +41,7 @@
 
     def __init__(self, store):
         self.watcher = DocumentWatcher(store, KIND, self._changed)
-        self.watcher.fresh_at = steady_seconds()
+        self.watcher.current_as_of = steady_seconds()
         self.feed = DocumentFeed(_NoNetwork(), [self.watcher], lambda: 0.0, FOREVER_SECONDS)
         self.states = {}
         self.highest = {}
--- a/tests/coordination/lapse_machine.py
+++ b/tests/coordination/lapse_machine.py
@@ -43,7 +43,7 @@
             expiry_grace_seconds=FOREVER_SECONDS,
             recovered_at=lambda: self.recovered_at,
         )
-        self.watcher.fresh_at = steady_seconds()
+        self.watcher.current_as_of = steady_seconds()
         self.feed = DocumentFeed(_NoNetwork(), [self.watcher], lambda: 0.0, FOREVER_SECONDS)
         self.comparison = CopyComparison(now)
 
