--- a/src/runkeel/coordination/document_feed.py
+++ b/src/runkeel/coordination/document_feed.py
@@ -76,7 +76,7 @@
         watcher = self.watcher
         if revision >= watcher.revision:
             return None
-        whole = revision < watcher.unbroken_since
+        whole = revision < watcher.contiguous_since
         names = watcher.documents if whole else self._changed_since(revision)
         removed = [] if whole else [name for at, name in watcher.removals if at > revision]
         if not whole and not names and not removed and not even_if_empty:
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -72,7 +72,7 @@
     Attributes:
         documents: the copy, by name.
         revision: the store's revision that the copy reflects, 0 before the first list.
-        unbroken_since: revision since which this watcher has observed every change. Documents
+        contiguous_since: revision since which this watcher has observed every change. Documents
             created and removed before, between two lists, may have been missed.
         removals: names removed since then, each with the revision at which it was noticed.
         listed: set once the first list or page has been applied.
@@ -108,7 +108,7 @@
         self._failures = 0
         self._task: gevent.Greenlet | None = None
         self.revision = 0
-        self.unbroken_since = 0
+        self.contiguous_since = 0
         self.removals: deque[tuple[int, str]] = deque()
         self.documents: dict[str, Document] = {}
         self._names = NameDigest()
@@ -180,7 +180,7 @@
         if page.revision < self.revision:
             return
         before, self.revision = self.revision, page.revision
-        self.unbroken_since = page.revision
+        self.contiguous_since = page.revision
         self.removals.clear()
         self._lapsed.take_expired()
         if page.whole:
@@ -270,7 +270,7 @@
         """Record a removal, even of a document unknown here, since other nodes may have it."""
         self.removals.append((self.revision, name))
         if len(self.removals) > MAXIMUM_REMOVALS:
-            self.unbroken_since = self.removals.popleft()[0]
+            self.contiguous_since = self.removals.popleft()[0]
 
     def _list(self, freshness: Freshness) -> None:
         listing = self._store.list(self._kind, freshness=freshness)
--- a/tests/coordination/test_feed_fuzz.py
+++ b/tests/coordination/test_feed_fuzz.py
@@ -47,7 +47,7 @@
 
 def page_that_knows_all_removals(self, revision, even_if_empty):
     """Mutant of page_after: assumes that removals in the gap before a list are known."""
-    self.watcher.unbroken_since = 1
+    self.watcher.contiguous_since = 1
     return page_after(self, revision, even_if_empty)
 
 
