--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -298,7 +298,7 @@
     def superseded(self, reason: str) -> None:
         """Step down: another coordinator has acted."""
         self._step_down(reason)
-        self._watcher.rewatch()
+        self._watcher.restart_watch()
 
     def copy_holders(self, keepers: bool = True) -> list[str]:
         """Return the nodes that hold copies of the running items; see :class:`PeerRegistry`."""
@@ -659,7 +659,7 @@
             self._tentative.end("a different term began")
         self._epoch, self._pending_claim_epoch = epoch, 0
         self._coordinating_since = steady_seconds()
-        self._watcher.rewatch()
+        self._watcher.restart_watch()
         self._peers.clear()
         COORDINATING.labels(self._shard).set(1)
         logger.info("became coordinator", code="coordinator_gained", epoch=epoch, reason=reason)
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -507,7 +507,7 @@
         self._term.start()
         self._quarantine.begin_term()
         self._follower.use_store("this node coordinates")
-        self._routing_watcher.rewatch()
+        self._routing_watcher.restart_watch()
         # The feed of the previous coordinator omits weight versions.
         self._backend_watcher.refresh("this node coordinates")
 
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -162,7 +162,7 @@
         self._list_due = True
         self.start()
 
-    def rewatch(self) -> None:
+    def restart_watch(self) -> None:
         """Restart the pending watch with the current time-out."""
         if self._task is not None and self.listed.is_set():
             self.stop()
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -71,7 +71,7 @@
         self.since = steady_seconds()
         self.coordinator = None
         self.follower.use_store("coordinates")
-        self.watcher.rewatch()
+        self.watcher.restart_watch()
 
     def stop(self):
         self.follower.stop()
