--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -193,7 +193,7 @@
             watch_seconds=self._watch_seconds,
             needed=store_needed,
             # A preferred node may have to take over at once, so it checks the store more often.
-            resting_probe_seconds=PING_INTERVAL_SECONDS
+            idle_probe_interval_seconds=PING_INTERVAL_SECONDS
             if self._preferred
             else RESTING_PROBE_SECONDS,
             # A stale list may name a replaced coordinator; a claim based on it is rejected by the
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -60,7 +60,7 @@
         watch_seconds: returns the time-out of a watch in seconds. A watch whose response was lost
             hangs until then.
         needed: set while the store must be queried; None if it always must.
-        resting_probe_seconds: interval at which a failed store is probed while it need not be
+        idle_probe_interval_seconds: interval at which a failed store is probed while it need not be
             queried.
         expiry_grace_seconds: how long documents that expired during an outage are retained after it, as
             live owners write them again.
@@ -89,11 +89,11 @@
         needed: Event | None = None,
         expiry_grace_seconds: float = 0.0,
         recovered_at: Callable[[], float] = lambda: 0.0,
-        resting_probe_seconds: float = RESTING_PROBE_SECONDS,
+        idle_probe_interval_seconds: float = RESTING_PROBE_SECONDS,
         first_list: Freshness = Freshness.CURRENT,
     ) -> None:
         self._list_freshness = first_list
-        self._resting_probe_seconds = resting_probe_seconds
+        self._resting_probe_seconds = idle_probe_interval_seconds
         self._store = store
         self._kind = kind
         self._lapsed = ExpiredDocuments(kind, expiry_grace_seconds, recovered_at, self._remove)
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -222,7 +222,7 @@
         needed = gevent.event.Event()
         needed.set()
         watcher = DocumentWatcher(
-            self.store, KIND, self._record_change, needed=needed, resting_probe_seconds=60.0
+            self.store, KIND, self._record_change, needed=needed, idle_probe_interval_seconds=60.0
         )
         self.addCleanup(watcher.stop)
         self.store.down = True
