--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -39,7 +39,7 @@
 from runkeel.handoff.keeper_quorum import Keeper, KnownKeepers
 from runkeel.metrics import COORDINATING
 from runkeel.state.document_watcher import (
-    RESTING_PROBE_SECONDS,
+    IDLE_PROBE_INTERVAL_SECONDS,
     WATCH_SECONDS,
     DocumentWatcher,
 )
@@ -195,7 +195,7 @@
             # A preferred node may have to take over at once, so it checks the store more often.
             idle_probe_interval_seconds=PING_INTERVAL_SECONDS
             if self._preferred
-            else RESTING_PROBE_SECONDS,
+            else IDLE_PROBE_INTERVAL_SECONDS,
             # A stale list may name a replaced coordinator; a claim based on it is rejected by the
             # store, as it is conditional on the replaced revision.
             first_list=Freshness.ANY_AGE,
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -35,7 +35,7 @@
 MAX_WATCH_OVERRUN_SECONDS = 0.4
 """A response that arrives later than this after the watch's time-out may be out of date."""
 
-RESTING_PROBE_SECONDS = 2.0
+IDLE_PROBE_INTERVAL_SECONDS = 2.0
 """Interval at which a watcher that need not query the store probes it while it is unavailable."""
 
 MAXIMUM_REMOVALS = 4_000
@@ -89,7 +89,7 @@
         needed: Event | None = None,
         expiry_grace_seconds: float = 0.0,
         recovered_at: Callable[[], float] = lambda: 0.0,
-        idle_probe_interval_seconds: float = RESTING_PROBE_SECONDS,
+        idle_probe_interval_seconds: float = IDLE_PROBE_INTERVAL_SECONDS,
         first_list: Freshness = Freshness.CURRENT,
     ) -> None:
         self._list_freshness = first_list
