--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -38,7 +38,7 @@
 IDLE_PROBE_INTERVAL_SECONDS = 2.0
 """Interval at which a watcher that need not query the store probes it while it is unavailable."""
 
-MAXIMUM_REMOVALS = 4_000
+MAX_REMOVALS = 4_000
 """Maximum number of removals recorded for other nodes."""
 
 MAX_REASON_LENGTH = 200
@@ -269,7 +269,7 @@
     def _record_removal(self, name: str) -> None:
         """Record a removal, even of a document unknown here, since other nodes may have it."""
         self.removals.append((self.revision, name))
-        if len(self.removals) > MAXIMUM_REMOVALS:
+        if len(self.removals) > MAX_REMOVALS:
             self.contiguous_since = self.removals.popleft()[0]
 
     def _list(self, freshness: Freshness) -> None:
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -283,7 +283,7 @@
 
     def test_unknown_removals_make_the_page_whole(self):
         revision = self.coordinator.watcher.revision
-        with unittest.mock.patch.object(document_watcher, "MAXIMUM_REMOVALS", 1):
+        with unittest.mock.patch.object(document_watcher, "MAX_REMOVALS", 1):
             for name in ("s5", "s6"):
                 self.objects.put(KIND, name, "ready")
                 self.wait(lambda name=name: name in self.coordinator.content)
