--- a/src/runkeel/state/observed_store.py
+++ b/src/runkeel/state/observed_store.py
@@ -31,7 +31,7 @@
 Longer, since followers are many and learn from other nodes that the store has recovered.
 """
 
-OUTAGE_SECONDS = 2.0
+MIN_OUTAGE_SECONDS = 2.0
 """Minimum time from the first failure to the next response after which documents that need
 heartbeats may have expired. Server entries expire after 3.6 s without a heartbeat, and the last one
 may have been sent 1.2 s before the outage.
@@ -182,7 +182,7 @@
 
     def _record_recovery(self, now: float) -> None:
         """Record a recovery if documents may have expired during the outage."""
-        long_enough = now - self.failing_since >= OUTAGE_SECONDS
+        long_enough = now - self.failing_since >= MIN_OUTAGE_SECONDS
         span_long_enough = self._failed_at - self.failing_since >= MIN_FAILURE_SPAN_SECONDS
         if long_enough and span_long_enough and now - self._failed_at <= MAX_FAILURE_AGE_SECONDS:
             self.recovered_at = now
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -15,7 +15,7 @@
 )
 from runkeel.clock import steady_seconds
 from runkeel.state.document_watcher import DocumentWatcher
-from runkeel.state.observed_store import OUTAGE_SECONDS, ObservedStore
+from runkeel.state.observed_store import MIN_OUTAGE_SECONDS, ObservedStore
 from runkeel_lab.standins.document_store import MemoryDocumentStore
 
 KIND = DocumentKind.BACKEND
@@ -273,7 +273,7 @@
     def test_documents_expired_in_an_outage_are_retained_for_the_grace_period(self):
         for compacted in (False, True):
             with self.subTest(compacted=compacted):
-                watcher = self._recover_with_missing_documents(0.4, OUTAGE_SECONDS, compacted)
+                watcher = self._recover_with_missing_documents(0.4, MIN_OUTAGE_SECONDS, compacted)
                 self.changes.clear()
                 self.assertEqual(sorted(watcher.documents), ["a", "b"])
                 self.store.put(KIND, "b", 2)
@@ -284,7 +284,7 @@
                 watcher.stop()
 
     def test_removals_after_the_grace_period_are_recorded_for_other_copies(self):
-        watcher = self._recover_with_missing_documents(0.05, OUTAGE_SECONDS)
+        watcher = self._recover_with_missing_documents(0.05, MIN_OUTAGE_SECONDS)
         known = watcher.revision
         self._wait_until(lambda: not watcher.documents)
         self.assertEqual(list(watcher.removals), [])
@@ -297,7 +297,7 @@
         self._wait_until(lambda: not watcher.documents)
 
     def test_page_of_another_copy_removes_retained_documents(self):
-        watcher = self._recover_with_missing_documents(10.0, OUTAGE_SECONDS)
+        watcher = self._recover_with_missing_documents(10.0, MIN_OUTAGE_SECONDS)
         watcher.take(self._page(watcher.revision + 1, removed=("a", "b")))
         self.assertEqual(watcher.documents, {})
 
--- a/tests/base/test_observed_store.py
+++ b/tests/base/test_observed_store.py
@@ -12,7 +12,7 @@
     FOLLOWER_PROBE_SECONDS,
     MAX_FAILURE_AGE_SECONDS,
     MIN_FAILURE_SPAN_SECONDS,
-    OUTAGE_SECONDS,
+    MIN_OUTAGE_SECONDS,
     ObservedStore,
 )
 from runkeel_lab.standins.document_store import MemoryDocumentStore
@@ -54,7 +54,7 @@
 
     def test_recovery_after_an_outage_is_recorded(self):
         """All copies of a node must agree on the recovery, or some drop what others retain."""
-        self.assertTrue(self._recover_after(OUTAGE_SECONDS))
+        self.assertTrue(self._recover_after(MIN_OUTAGE_SECONDS))
 
     def test_outage_with_few_probes_is_recorded(self):
         """A follower may have seen only two failures, the last one 1.5 s before the response."""
@@ -64,14 +64,14 @@
         )
 
     def test_short_failure_is_not_an_outage(self):
-        self.assertFalse(self._recover_after(OUTAGE_SECONDS - 0.1))
+        self.assertFalse(self._recover_after(MIN_OUTAGE_SECONDS - 0.1))
 
     def test_lost_connection_detected_late_is_not_an_outage(self):
-        self.assertFalse(self._recover_after(OUTAGE_SECONDS, quiet_seconds=OUTAGE_SECONDS))
+        self.assertFalse(self._recover_after(MIN_OUTAGE_SECONDS, quiet_seconds=MIN_OUTAGE_SECONDS))
 
     def test_recovery_with_an_old_last_failure_is_not_recorded(self):
         self.assertFalse(
-            self._recover_after(OUTAGE_SECONDS, ended_ago=MAX_FAILURE_AGE_SECONDS + 0.1)
+            self._recover_after(MIN_OUTAGE_SECONDS, ended_ago=MAX_FAILURE_AGE_SECONDS + 0.1)
         )
 
     def test_conflict_counts_as_a_response(self):
--- a/tests/users_platform/test_lapsed_servers.py
+++ b/tests/users_platform/test_lapsed_servers.py
@@ -20,7 +20,7 @@
 import gevent
 
 from runkeel.fleet_node import LAPSE_SECONDS
-from runkeel.state.observed_store import OUTAGE_SECONDS
+from runkeel.state.observed_store import MIN_OUTAGE_SECONDS
 from runkeel_lab.users_platform.deployment import APPLICATION, COUNT_PREFIX
 from tests.users_platform.deployment_case import DeploymentTestCase
 
@@ -78,14 +78,14 @@
         gevent.sleep(LAPSE_SECONDS + MARGIN_SECONDS)
 
     def test_node_that_saw_the_lapse_itself_serves_again(self):
-        self.lose_store(OUTAGE_SECONDS + MARGIN_SECONDS)
+        self.lose_store(MIN_OUTAGE_SECONDS + MARGIN_SECONDS)
         self.end_outage_at_the_node()
         self.end_outage()
         self.assertEqual([self.status() for _ in range(3)], [200] * 3)
         self.assertEqual(self.known(), 2)
 
     def test_node_that_tries_the_store_seldom_keeps_the_servers_meanwhile(self):
-        self.lose_store(OUTAGE_SECONDS + MARGIN_SECONDS)
+        self.lose_store(MIN_OUTAGE_SECONDS + MARGIN_SECONDS)
         self.assertEqual(self.status(), 200)
         self.end_outage_at_the_node()
         self.assertEqual([self.status() for _ in range(3)], [200] * 3)
@@ -93,7 +93,7 @@
 
     def test_server_that_does_not_come_back_is_given_up_by_all(self):
         lost = self.deployment.applications[0]
-        self.lose_store(OUTAGE_SECONDS + MARGIN_SECONDS)
+        self.lose_store(MIN_OUTAGE_SECONDS + MARGIN_SECONDS)
         lost.stop()
         self.let_in(*self.deployment.node_names)
         for server in self.servers():
