--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -33,7 +33,7 @@
 from runkeel.jobs.scheduler import Scheduler
 from runkeel.metrics import JOBS
 from runkeel.state.document_watcher import DocumentWatcher
-from runkeel.state.unchanging import get_unchanging
+from runkeel.state.unchanging import get_immutable
 
 LOAD_RETRY_SECONDS = 0.2
 """Pause before a failed read of a job is retried."""
@@ -301,7 +301,7 @@
         gevent.sleep(WATCH_GRACE_SECONDS)
         while job_id not in self._job_watcher.documents and job_id not in self._loading:
             try:
-                document = get_unchanging(self._store, DocumentKind.JOB, job_id)
+                document = get_immutable(self._store, DocumentKind.JOB, job_id)
             except RunkeelError as error:
                 logger.info(
                     "job read failed; retrying",
--- a/src/runkeel/jobs/job_store.py
+++ b/src/runkeel/jobs/job_store.py
@@ -28,7 +28,7 @@
     part_names,
     segment_name,
 )
-from runkeel.state.unchanging import get_unchanging
+from runkeel.state.unchanging import get_immutable
 
 MAX_PART_ATTEMPTS = 3
 """Bound on the attempts to write a part when replies are lost."""
@@ -143,13 +143,13 @@
     def _read_part(self, name: str) -> Document | RunkeelError | None:
         """Return a part, or the error of the read, which the caller raises."""
         try:
-            return get_unchanging(self._store, DocumentKind.JOB_PART, name, PART_TIMEOUT_SECONDS)
+            return get_immutable(self._store, DocumentKind.JOB_PART, name, PART_TIMEOUT_SECONDS)
         except RunkeelError as error:
             return error
 
     def get(self, job_id: str) -> BatchJob | None:
         """Return a job; None if it is certain that it does not exist."""
-        document = get_unchanging(self._store, DocumentKind.JOB, job_id)
+        document = get_immutable(self._store, DocumentKind.JOB, job_id)
         return None if document is None else self.read(document)
 
     def remove(self, job_id: str, parts: tuple[str, ...], segments: int) -> None:
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -24,7 +24,7 @@
 from runkeel.jobs.job_store import JobStore, JobSubmission
 from runkeel.jobs.result_cache import ResultCache
 from runkeel.metrics import JOBS
-from runkeel.state.unchanging import get_unchanging
+from runkeel.state.unchanging import get_immutable
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import (
     JobAccepted,
@@ -327,7 +327,7 @@
         while len(cached.results) < len(cached.job.items):
             number = cached.segments
             name = segment_name(job.job_id, number)
-            document = get_unchanging(self._store, DocumentKind.JOB_RESULTS, name)
+            document = get_immutable(self._store, DocumentKind.JOB_RESULTS, name)
             if document is None:
                 break
             if cached.segments == number:
--- a/src/runkeel/state/unchanging.py
+++ b/src/runkeel/state/unchanging.py
@@ -11,7 +11,7 @@
 )
 
 
-def get_unchanging(
+def get_immutable(
     store: DocumentStore,
     kind: DocumentKind,
     name: str,
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -10,7 +10,7 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs.job_documents import MAX_PART_BYTES, encode_segment, segment_name
 from runkeel.jobs.job_store import JobStore, JobSubmission
-from runkeel.state.unchanging import get_unchanging
+from runkeel.state.unchanging import get_immutable
 from runkeel_lab.standins.document_store import MemoryDocumentStore, StoreFault
 from tests.jobs.test_job_service import JOB_ID, make_job
 
@@ -105,12 +105,12 @@
         self.store.put(DocumentKind.JOB, "new", 2)
 
     def test_outdated_read_is_used_if_it_has_the_document(self):
-        self.assertEqual(get_unchanging(self.store, DocumentKind.JOB, "old").content, 1)
+        self.assertEqual(get_immutable(self.store, DocumentKind.JOB, "old").content, 1)
         self.assertEqual(self.store.calls, {"get_any_age": 1})
 
     def test_outdated_read_without_the_document_is_repeated(self):
-        self.assertEqual(get_unchanging(self.store, DocumentKind.JOB, "new").content, 2)
-        self.assertIsNone(get_unchanging(self.store, DocumentKind.JOB, "none"))
+        self.assertEqual(get_immutable(self.store, DocumentKind.JOB, "new").content, 2)
+        self.assertIsNone(get_immutable(self.store, DocumentKind.JOB, "none"))
         self.assertEqual(self.store.calls, {"get_any_age": 2, "get": 2})
 
 
