--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -454,7 +454,7 @@
 
     def _on_backend_incarnation_ended(self, state: BackendState) -> None:
         """Drop the state of a server incarnation that is gone or was replaced."""
-        self._quarantine.start_over(state)
+        self._quarantine.backend_left(state)
         if self._term is not None:
             self._term.forget(state)
 
--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -118,7 +118,7 @@
         """Handle a server that has joined."""
         self.quarantine.ends.backend_joined(backend)
 
-    def start_over(self, state: BackendState) -> None:
+    def backend_left(self, state: BackendState) -> None:
         """Handle a server that was removed or has restarted under its id."""
         if state.replaced:
             self.quarantine.ends.backend_restarted(state)
