--- a/src/runkeel/quarantine/crash_ledger.py
+++ b/src/runkeel/quarantine/crash_ledger.py
@@ -89,7 +89,7 @@
         self._put(replace(cleared, changed_at=self._now()), "")
         return True
 
-    def note_trial(self, fingerprint: str) -> None:
+    def record_trial(self, fingerprint: str) -> None:
         """Record that a trial was granted."""
         known = self.get(fingerprint)
         if known is not None:
--- a/src/runkeel/quarantine/trials.py
+++ b/src/runkeel/quarantine/trials.py
@@ -96,7 +96,7 @@
             return TrialAnswer(False, due_at - now)
         if self._trial_in_flight(known.service, now):
             return TrialAnswer(False, BUSY_RETRY_SECONDS)
-        self._ledger.note_trial(known.fingerprint)
+        self._ledger.record_trial(known.fingerprint)
         on_trial = self._ledger.get(known.fingerprint)
         self._trials[known.service] = _Trial(on_trial, now + TRIAL_TIMEOUT_SECONDS)
         return TrialAnswer(True)
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -133,7 +133,7 @@
     def test_trial_that_reached_no_server_continues_and_is_returned(self):
         self.granted = True
         fingerprint = self.hold()
-        self.ledger.note_trial(fingerprint)
+        self.ledger.record_trial(fingerprint)
         pools = {name: ScriptedPool(unreachable()) for name in ("a", "b")}
         self.failure(make_route(), pools)
         self.assertEqual((self.trial_requests, self.requests(pools)), (1, 2))
