--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -205,7 +205,7 @@
             lambda: store.reachable,
             self._follower.coordinator_needed,
             lambda: self.quarantine.ledger.digest,
-            self._quarantine.gossip.note_digest,
+            self._quarantine.gossip.compare_digest,
         )
         self._routing_watcher = DocumentWatcher(
             store,
--- a/src/runkeel/quarantine/gossip.py
+++ b/src/runkeel/quarantine/gossip.py
@@ -92,7 +92,7 @@
         reply = self._call(node_id, self._ledger.records(), wants_all=True)
         self._merge_records(reply.records, node_id)
 
-    def note_digest(self, node_id: str, digest: int) -> None:
+    def compare_digest(self, node_id: str, digest: int) -> None:
         """Compare another node's digest with this ledger's and exchange if they stay different."""
         now = steady_seconds()
         interval_elapsed = now - self._exchanged_at >= MIN_EXCHANGE_INTERVAL_SECONDS
--- a/tests/quarantine/test_gossip.py
+++ b/tests/quarantine/test_gossip.py
@@ -80,7 +80,7 @@
         self.network.cut("a", "b")
         self.crash_servers("a", "s1")
         self.crash_servers("d", "s2")
-        self.gossips["c"].note_digest("d", self.ledgers["d"].digest)
+        self.gossips["c"].compare_digest("d", self.ledgers["d"].digest)
         gevent.sleep(gossip.DIGEST_MISMATCH_SECONDS + 0.1)
         self.assertIn("s2", self.ended("c"))
         self.assertIn("s1", self.ended("d") | self.ended("a"))
@@ -89,7 +89,7 @@
         calls = []
         self.gossips["b"].exchange = calls.append
         self.crash_servers("a", "s1")
-        self.gossips["b"].note_digest("a", self.ledgers["a"].digest)
+        self.gossips["b"].compare_digest("a", self.ledgers["a"].digest)
         gevent.sleep(gossip.DIGEST_MISMATCH_SECONDS + 0.1)
         self.assertEqual((calls, self.ended("b")), ([], {"s1"}))
 
