--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -36,7 +36,7 @@
 from runkeel.coordination.told_nodes import AdvertisedNodes
 from runkeel.coordination.witnesses import reached_by_others
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.handoff.keeper_quorum import Keeper, KnownKeepers
+from runkeel.handoff.keeper_quorum import KnownKeepers, StorageNode
 from runkeel.metrics import COORDINATING
 from runkeel.state.document_watcher import (
     IDLE_PROBE_INTERVAL_SECONDS,
@@ -320,13 +320,17 @@
     def keepers(self) -> KnownKeepers:
         """Return the nodes that keep jobs on behalf of the store: coordinator and successors."""
         known = self._coordinator
-        keepers = [Keeper(one.node_id, one.zone) for one in self._advertised.successor_addresses]
+        keepers = [
+            StorageNode(one.node_id, one.zone) for one in self._advertised.successor_addresses
+        ]
         if self.coordinating:
-            own_successors = [Keeper(one.node_id, one.zone) for one in self._peers.successors()]
-            keepers = [Keeper(self._node_id, self._zone), *own_successors, *keepers]
+            own_successors = [
+                StorageNode(one.node_id, one.zone) for one in self._peers.successors()
+            ]
+            keepers = [StorageNode(self._node_id, self._zone), *own_successors, *keepers]
         else:
-            own = [Keeper(self._node_id, self._zone)] if self._preferred else []
-            leading = [Keeper(known.node_id, known.zone)] if known is not None else []
+            own = [StorageNode(self._node_id, self._zone)] if self._preferred else []
+            leading = [StorageNode(known.node_id, known.zone)] if known is not None else []
             keepers = [*own, *leading, *keepers]
         complete = self.coordinating or self._advertised.received_any
         settled = steady_seconds() - self._started_at >= STORAGE_NODES_SETTLE_SECONDS
--- a/src/runkeel/handoff/hint_client.py
+++ b/src/runkeel/handoff/hint_client.py
@@ -12,7 +12,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.handoff.keeper_quorum import Keeper, KeeperQuorum, KnownKeepers
+from runkeel.handoff.keeper_quorum import KeeperQuorum, KnownKeepers, StorageNode
 from runkeel.jobs.job_documents import EncodedJob, serialize_job
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import (
@@ -60,7 +60,7 @@
 class _Reply:
     """Outcome of sending a hint to a storage node; ``state`` is None if there was no reply."""
 
-    node: Keeper
+    node: StorageNode
     state: int | None
     may_be_kept: bool
 
@@ -94,7 +94,7 @@
         replies: Queue = Queue()
         for node in nodes:
             gevent.spawn(self._send_hint, node, message, replies)
-        kept: set[Keeper] = set()
+        kept: set[StorageNode] = set()
         outcome = self._collect_replies(replies, len(nodes), kept)
         logger.info(
             "sent job hints to storage nodes",
@@ -135,7 +135,7 @@
         )
         return trace
 
-    def _collect_replies(self, replies: Queue, count: int, kept: set[Keeper]) -> HintOutcome:
+    def _collect_replies(self, replies: Queue, count: int, kept: set[StorageNode]) -> HintOutcome:
         """Wait until the outcome is certain; adds the nodes that keep a hint to ``kept``."""
         deadline = steady_seconds() + HINT_TIMEOUT_SECONDS
         may_be_stored = False
@@ -154,7 +154,7 @@
                 return HintOutcome.ACCEPTED
         return HintOutcome.UNSURE if may_be_stored else HintOutcome.REFUSED
 
-    def _send_hint(self, node: Keeper, message: JobHint, replies: Queue) -> None:
+    def _send_hint(self, node: StorageNode, message: JobHint, replies: Queue) -> None:
         try:
             reply = self._network.call(
                 node.node_id, MessageType.JOB_HINT, message, JobHintReply, HINT_TIMEOUT_SECONDS
@@ -165,7 +165,7 @@
             return
         replies.put(_Reply(node, reply.state, reply.state != JobHintState.REFUSED))
 
-    def _look_up(self, node: Keeper, message: JobHintLookup) -> JobHintLookupReply | None:
+    def _look_up(self, node: StorageNode, message: JobHintLookup) -> JobHintLookupReply | None:
         try:
             return self._network.call(
                 node.node_id,
@@ -179,7 +179,7 @@
             return None
 
 
-def _log_unreachable(node: Keeper, error: RunkeelError) -> None:
+def _log_unreachable(node: StorageNode, error: RunkeelError) -> None:
     logger.info(
         "storage node unreachable",
         code="keeper_unreached",
--- a/src/runkeel/handoff/keeper_quorum.py
+++ b/src/runkeel/handoff/keeper_quorum.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keeper:
+class StorageNode:
     """A storage node, which keeps hints of jobs that are not in the store yet."""
 
     node_id: str
@@ -41,7 +41,7 @@
         complete: whether this is certain to include all of them.
     """
 
-    keepers: tuple[Keeper, ...]
+    keepers: tuple[StorageNode, ...]
     complete: bool = True
 
 
@@ -56,7 +56,7 @@
     tolerance: LossTolerance
     regions: Mapping[str, str] = field(default_factory=dict)
 
-    def is_durable(self, keepers: Iterable[Keeper]) -> bool:
+    def is_durable(self, keepers: Iterable[StorageNode]) -> bool:
         """Return whether a job that these nodes keep survives any loss within the tolerance."""
         nodes = set(keepers)
         zones = {node.zone for node in nodes}
@@ -67,7 +67,7 @@
             and len(regions) > self.tolerance.regions
         )
 
-    def rules_out(self, unheard: Iterable[Keeper]) -> bool:
+    def rules_out(self, unheard: Iterable[StorageNode]) -> bool:
         """Return whether a job that all other nodes deny can't have been accepted.
 
         Args:
--- a/tests/handoff/test_keeper_quorum.py
+++ b/tests/handoff/test_keeper_quorum.py
@@ -6,7 +6,7 @@
 import hypothesis.strategies as st
 from hypothesis import given, seed, settings
 
-from runkeel.handoff.keeper_quorum import Keeper, KeeperQuorum, LossTolerance
+from runkeel.handoff.keeper_quorum import KeeperQuorum, LossTolerance, StorageNode
 from tests.fuzzing import SEED_COUNT
 
 ZONES = ("a", "b", "c", "d")
@@ -15,7 +15,7 @@
 
 
 def keepers(*names):
-    return [Keeper(name, name[0]) for name in names]
+    return [StorageNode(name, name[0]) for name in names]
 
 
 class KeeperQuorumTest(unittest.TestCase):
@@ -50,7 +50,7 @@
     tolerance = LossTolerance(draw(st.integers(0, 2)), draw(st.integers(0, 1)))
     for zone in ZONES[: draw(st.integers(1, 3))]:
         for number in range(draw(st.integers(1, 3))):
-            node = Keeper(f"{zone}{number}", zone)
+            node = StorageNode(f"{zone}{number}", zone)
             nodes.append(node)
             if draw(st.booleans()):
                 kept.add(node)
