--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -36,7 +36,7 @@
 from runkeel.coordination.told_nodes import AdvertisedNodes
 from runkeel.coordination.witnesses import reached_by_others
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.handoff.keeper_quorum import KnownKeepers, StorageNode
+from runkeel.handoff.keeper_quorum import KnownStorageNodes, StorageNode
 from runkeel.metrics import COORDINATING
 from runkeel.state.document_watcher import (
     IDLE_PROBE_INTERVAL_SECONDS,
@@ -317,7 +317,7 @@
         """Return the successors that hold copies of the open jobs, which nodes query first."""
         return [one.node_id for one in self._peers.successors()[:MAX_QUERIED_SUCCESSORS]]
 
-    def keepers(self) -> KnownKeepers:
+    def keepers(self) -> KnownStorageNodes:
         """Return the nodes that keep jobs on behalf of the store: coordinator and successors."""
         known = self._coordinator
         keepers = [
@@ -336,7 +336,7 @@
         settled = steady_seconds() - self._started_at >= STORAGE_NODES_SETTLE_SECONDS
         # A node may appear in more than one of these lists; the first entry counts.
         distinct = {one.node_id: one for one in reversed(keepers)}
-        return KnownKeepers(tuple(reversed(distinct.values())), complete and settled)
+        return KnownStorageNodes(tuple(reversed(distinct.values())), complete and settled)
 
     @property
     def silent_peers(self) -> int:
--- a/src/runkeel/handoff/keeper_quorum.py
+++ b/src/runkeel/handoff/keeper_quorum.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownKeepers:
+class KnownStorageNodes:
     """The storage nodes that a node knows.
 
     Attributes:
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -17,7 +17,7 @@
 from runkeel.handoff.hint_service import HintService
 from runkeel.handoff.keeper_quorum import (
     KeeperQuorum,
-    KnownKeepers,
+    KnownStorageNodes,
     LossTolerance,
     StorageNode,
 )
@@ -192,7 +192,7 @@
 class HintClientTest(HintServiceTest):
     def client(self, copies=2, complete=True):
         quorum = KeeperQuorum(LossTolerance(copies - 1)) if copies else None
-        known = KnownKeepers(tuple(StorageNode(name, "z") for name in STORAGE_NODES), complete)
+        known = KnownStorageNodes(tuple(StorageNode(name, "z") for name in STORAGE_NODES), complete)
         return HintClient(self.network.node("edge"), SHARD, lambda: known, quorum)
 
     def test_accepted_once_enough_disks_have_it(self):
