--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -38,7 +38,7 @@
 from runkeel.handoff.hint_client import HintClient
 from runkeel.handoff.hint_log import HintLog
 from runkeel.handoff.hint_service import HintService
-from runkeel.handoff.keeper_quorum import KeeperQuorum, LossTolerance
+from runkeel.handoff.keeper_quorum import LossTolerance, StorageQuorum
 from runkeel.jobs.job_copies import ReceivedJobCopies
 from runkeel.jobs.job_documents import EncodedJob
 from runkeel.jobs.job_state import JobState
@@ -240,7 +240,7 @@
         self._election.watcher.on_change(self._feed.note)
         folder = settings.data_folder
         tolerance = settings.loss_tolerance
-        quorum = KeeperQuorum(tolerance, settings.zone_regions) if tolerance else None
+        quorum = StorageQuorum(tolerance, settings.zone_regions) if tolerance else None
         hints = HintClient(self._network, SHARD, self._election.keepers, quorum)
         self.jobs = JobService(store, self._network, self._election, SHARD, hints)
         self.hints = HintService(
--- a/src/runkeel/handoff/keeper_quorum.py
+++ b/src/runkeel/handoff/keeper_quorum.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperQuorum:
+class StorageQuorum:
     """The quorum rule of a deployment.
 
     Attributes:
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -16,10 +16,10 @@
 from runkeel.handoff.hint_log import HintLog
 from runkeel.handoff.hint_service import HintService
 from runkeel.handoff.keeper_quorum import (
-    KeeperQuorum,
     KnownStorageNodes,
     LossTolerance,
     StorageNode,
+    StorageQuorum,
 )
 from runkeel.jobs.job_documents import deserialize_job, encode_job, serialize_job
 from runkeel.state.observed_store import ObservedStore
@@ -191,7 +191,7 @@
 
 class HintClientTest(HintServiceTest):
     def client(self, copies=2, complete=True):
-        quorum = KeeperQuorum(LossTolerance(copies - 1)) if copies else None
+        quorum = StorageQuorum(LossTolerance(copies - 1)) if copies else None
         known = KnownStorageNodes(tuple(StorageNode(name, "z") for name in STORAGE_NODES), complete)
         return HintClient(self.network.node("edge"), SHARD, lambda: known, quorum)
 
--- a/tests/handoff/test_keeper_quorum.py
+++ b/tests/handoff/test_keeper_quorum.py
@@ -6,7 +6,7 @@
 import hypothesis.strategies as st
 from hypothesis import given, seed, settings
 
-from runkeel.handoff.keeper_quorum import KeeperQuorum, LossTolerance, StorageNode
+from runkeel.handoff.keeper_quorum import LossTolerance, StorageNode, StorageQuorum
 from tests.fuzzing import SEED_COUNT
 
 ZONES = ("a", "b", "c", "d")
@@ -21,23 +21,23 @@
 class KeeperQuorumTest(unittest.TestCase):
     def test_nodes_of_one_zone_are_not_enough_when_a_zone_may_be_lost(self):
         """A partitioned zone must not accept a job on its own that others then deny."""
-        quorum = KeeperQuorum(LossTolerance(2, 1))
+        quorum = StorageQuorum(LossTolerance(2, 1))
         self.assertFalse(quorum.is_durable(keepers("a1", "a2", "a3")))
         self.assertTrue(quorum.is_durable(keepers("a1", "a2", "b1")))
 
     def test_job_can_be_ruled_out_without_one_zone(self):
-        quorum = KeeperQuorum(LossTolerance(2, 1))
+        quorum = StorageQuorum(LossTolerance(2, 1))
         self.assertTrue(quorum.rules_out(keepers("a1", "a2", "a3")))
         self.assertFalse(quorum.rules_out(keepers("a1", "a2", "b1")))
 
     def test_only_nodes_count_when_no_zone_loss_is_tolerated(self):
-        quorum = KeeperQuorum(LossTolerance(1))
+        quorum = StorageQuorum(LossTolerance(1))
         self.assertTrue(quorum.is_durable(keepers("a1", "a2")))
         self.assertFalse(quorum.is_durable(keepers("a1")))
         self.assertFalse(quorum.is_durable(keepers("a1", "a1")))
 
     def test_nodes_of_one_region_are_not_enough_when_a_region_may_be_lost(self):
-        quorum = KeeperQuorum(LossTolerance(1, 1, 1), REGIONS)
+        quorum = StorageQuorum(LossTolerance(1, 1, 1), REGIONS)
         self.assertFalse(quorum.is_durable(keepers("a1", "b1")))
         self.assertTrue(quorum.is_durable(keepers("a1", "c1")))
 
@@ -70,7 +70,7 @@
             trusted: returns the nodes whose denials count, given those heard and those wiped.
         """
         tolerance, nodes, kept, wiped, heard = scenario
-        quorum = KeeperQuorum(tolerance)
+        quorum = StorageQuorum(tolerance)
         if (kept - wiped) & heard or not quorum.is_durable(kept):
             return
         unheard = [one for one in nodes if one not in trusted(heard, wiped)]
@@ -85,7 +85,7 @@
     @given(scenarios())
     def test_accepted_job_survives_losses_within_the_tolerance(self, scenario):
         tolerance, nodes, kept, wiped, heard = scenario
-        if KeeperQuorum(tolerance).is_durable(kept):
+        if StorageQuorum(tolerance).is_durable(kept):
             self.assertTrue(kept - wiped)
             for zone in ZONES:
                 if tolerance.zones:
@@ -105,7 +105,7 @@
         self.assertTrue(self.finds(lambda heard, wiped: heard))
 
     def test_check_finds_silence_counted_as_denial(self):
-        with mock.patch.object(KeeperQuorum, "rules_out", lambda self, unheard: True):
+        with mock.patch.object(StorageQuorum, "rules_out", lambda self, unheard: True):
             self.assertTrue(self.finds())
 
     def test_check_finds_acceptance_that_ignores_zones(self):
@@ -114,11 +114,11 @@
         def by_node_count(quorum, kept):
             return len(set(kept)) > quorum.tolerance.machines
 
-        is_durable = KeeperQuorum.is_durable
+        is_durable = StorageQuorum.is_durable
         with (
-            mock.patch.object(KeeperQuorum, "is_durable", by_node_count),
+            mock.patch.object(StorageQuorum, "is_durable", by_node_count),
             mock.patch.object(
-                KeeperQuorum, "rules_out", lambda quorum, unheard: not is_durable(quorum, unheard)
+                StorageQuorum, "rules_out", lambda quorum, unheard: not is_durable(quorum, unheard)
             ),
         ):
             self.assertTrue(self.finds())
