--- a/src/runkeel/handoff/hint_client.py
+++ b/src/runkeel/handoff/hint_client.py
@@ -34,7 +34,7 @@
 """
 
 
-class JobTrace(enum.Enum):
+class HintLookupResult(enum.Enum):
     """Result of looking up, on the storage nodes, a job that is not in the store."""
 
     KEPT = "kept"
@@ -106,10 +106,10 @@
         )
         return outcome
 
-    def trace(self, job_id: str) -> JobTrace:
+    def trace(self, job_id: str) -> HintLookupResult:
         """Look up whether a job that is not in the store may have been accepted."""
         if self._quorum is None:
-            return JobTrace.RULED_OUT
+            return HintLookupResult.RULED_OUT
         known = self._keepers()
         message = JobHintLookup(self._shard, job_id)
         lookups = {node: gevent.spawn(self._look_up, node, message) for node in known.keepers}
@@ -119,11 +119,11 @@
             node for node in known.keepers if node not in replies or not replies[node].remembers
         ]
         if any(reply.kept for reply in replies.values()):
-            trace = JobTrace.KEPT
+            trace = HintLookupResult.KEPT
         elif known.complete and self._quorum.rules_out(unheard):
-            trace = JobTrace.RULED_OUT
+            trace = HintLookupResult.RULED_OUT
         else:
-            trace = JobTrace.UNSURE
+            trace = HintLookupResult.UNSURE
         logger.info(
             "looked up job on storage nodes",
             code="job_looked_up",
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -17,7 +17,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.coordination.election import Election
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
-from runkeel.handoff.hint_client import HintClient, HintOutcome, JobTrace
+from runkeel.handoff.hint_client import HintClient, HintLookupResult, HintOutcome
 from runkeel.jobs.coordinator import JobCoordinator
 from runkeel.jobs.job_documents import decode_segment, may_belong_to_tenant, segment_name
 from runkeel.jobs.job_state import JobState, make_page
@@ -359,10 +359,10 @@
         if self._hints is None:
             return None
         trace = self._hints.trace(job_id)
-        if trace is JobTrace.RULED_OUT:
+        if trace is HintLookupResult.RULED_OUT:
             return self._read_job(job_id)
         detail = "job is accepted but not stored yet"
-        if trace is JobTrace.UNSURE:
+        if trace is HintLookupResult.UNSURE:
             detail = "job not found, but too few of the storage nodes that may keep it answered"
         raise not_run(ErrorCode.STORE_UNAVAILABLE, detail, RETRY_AFTER_SECONDS)
 
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -12,7 +12,7 @@
 from runkeel.api.jobs import BatchJob, JobItem
 from runkeel.clock import steady_seconds
 from runkeel.handoff import hint_service
-from runkeel.handoff.hint_client import HintClient, HintOutcome, JobTrace
+from runkeel.handoff.hint_client import HintClient, HintLookupResult, HintOutcome
 from runkeel.handoff.hint_log import HintLog
 from runkeel.handoff.hint_service import HintService
 from runkeel.handoff.keeper_quorum import (
@@ -227,23 +227,23 @@
             self.start_node(name, first_start=True)
         self.objects.down = True
         self.send_hint(make_encoded(), name="k2")
-        self.assertIs(self.client().trace("j"), JobTrace.KEPT)
-        self.assertIs(self.client().trace("other"), JobTrace.RULED_OUT)
+        self.assertIs(self.client().trace("j"), HintLookupResult.KEPT)
+        self.assertIs(self.client().trace("other"), HintLookupResult.RULED_OUT)
 
     def test_job_is_ruled_out_only_by_enough_nodes(self):
         """Nodes that do not reply must not count as having denied the job."""
         for name in STORAGE_NODES:
             self.start_node(name, first_start=True)
         self.network.silent.add("k1")
-        self.assertIs(self.client().trace("j"), JobTrace.RULED_OUT)
+        self.assertIs(self.client().trace("j"), HintLookupResult.RULED_OUT)
         self.network.silent.add("k2")
-        self.assertIs(self.client().trace("j"), JobTrace.UNSURE)
+        self.assertIs(self.client().trace("j"), HintLookupResult.UNSURE)
 
     def test_node_with_a_new_disk_cannot_deny_jobs(self):
         self.start_node("k1", first_start=True)
         self.start_node("k2")
         self.start_node("k3")
-        self.assertIs(self.client().trace("j"), JobTrace.UNSURE)
+        self.assertIs(self.client().trace("j"), HintLookupResult.UNSURE)
 
     def test_complete_history_stays_complete_after_a_restart(self):
         self.start_node("k1", first_start=True)
@@ -265,7 +265,7 @@
     def test_client_with_incomplete_node_list_denies_no_jobs(self):
         for name in STORAGE_NODES:
             self.start_node(name, first_start=True)
-        self.assertIs(self.client(complete=False).trace("j"), JobTrace.UNSURE)
+        self.assertIs(self.client(complete=False).trace("j"), HintLookupResult.UNSURE)
 
 
 class JobTextTest(unittest.TestCase):
