--- a/src/runkeel/decision_log.py
+++ b/src/runkeel/decision_log.py
@@ -41,7 +41,7 @@
         self._available = burst
         self._updated = steady_seconds()
 
-    def has_room(self, important: bool) -> bool:
+    def has_capacity(self, important: bool) -> bool:
         """Return whether a line of typical size fits; checked before a line is serialized."""
         self._refill()
         return self._available - TYPICAL_LINE_BYTES >= (0.0 if important else self._reserve)
@@ -75,7 +75,7 @@
 
     def write(self, line: dict[str, Any], important: bool) -> None:
         """Write a line, or drop and count it."""
-        if not self._flush_unwritten() or not self._bucket.has_room(important):
+        if not self._flush_unwritten() or not self._bucket.has_capacity(important):
             self._count_dropped_line()
             return
         if self._dropped:
--- a/src/runkeel/jobs/engine_placement.py
+++ b/src/runkeel/jobs/engine_placement.py
@@ -119,7 +119,7 @@
                 return best
         return None
 
-    def has_room(self, service: str) -> bool:
+    def has_capacity(self, service: str) -> bool:
         """Return whether any engine of a service has a free slot."""
         return bool(self._engines_with_free_slot(service))
 
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -98,9 +98,9 @@
         return task.watched
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether there is capacity to read one more run in time."""
-        return self._runners is None or self._runners.has_room
+        return self._runners is None or self._runners.has_capacity
 
     def generate(self, task: ItemTask, route: Route) -> RunOutcome:
         """Run an item on its engine; its events are appended to ``task.partial``."""
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -301,7 +301,7 @@
                 task.not_before = now + REQUEUE_DELAY_SECONDS
                 self._queue.put(task)
                 continue
-            if not self._runner.has_room:
+            if not self._runner.has_capacity:
                 # A further run could not be read in time.
                 return starts
             length = self._mover.relative_length(task)
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -70,7 +70,7 @@
     unwanted: set[str] = field(default_factory=set)
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether it has capacity for one more run."""
         return len(self.runs) < MAX_RUNS_PER_RUNNER and self.late_ms < MAX_LOOP_LAG_MILLISECONDS
 
@@ -133,11 +133,11 @@
             self._last_demand_at = steady_seconds()
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether this node or a sampled runner has capacity for one more run."""
         if self._local_runs < LOCAL_RUNS:
             return True
-        return any(runner.has_room for runner in self._all_runners.sample(SAMPLED_RUNNERS))
+        return any(runner.has_capacity for runner in self._all_runners.sample(SAMPLED_RUNNERS))
 
     def start(self) -> None:
         """Start inviting nodes."""
@@ -158,11 +158,11 @@
         if self._local_runs < LOCAL_RUNS or not self._runners:
             return None
         runner = self._last_runner_by_engine.get(engine.incarnation)
-        if runner is not None and runner.node_id in self._runners and runner.has_room:
+        if runner is not None and runner.node_id in self._runners and runner.has_capacity:
             return runner
         near = self._runners_by_zone.get(engine.backend.zone) or self._all_runners
         for runners in (near, self._all_runners):
-            free = [one for one in runners.sample(SAMPLED_RUNNERS) if one.has_room]
+            free = [one for one in runners.sample(SAMPLED_RUNNERS) if one.has_capacity]
             if free:
                 chosen = min(free, key=lambda one: len(one.runs))
                 self._last_runner_by_engine[engine.incarnation] = chosen
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -252,7 +252,7 @@
         self.assertTrue(few.needed)
         with mock.patch.object(pool, "LOCAL_RUNS", 1):
             self.assertIsNone(few.runner_for(self.directory.get("e")))
-            self.assertTrue(few.has_room)
+            self.assertTrue(few.has_capacity)
 
     def test_idle_runners_are_released_when_they_are_no_longer_needed(self):
         _, task = self._begin()
