--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -168,7 +168,7 @@
     def _run_here(self, run: GenerationRun, deadline: float) -> RunOutcome:
         if self._runners is None:
             return run.run(deadline)
-        self._runners.local_run_began()
+        self._runners.add_local_run()
         try:
             return run.run(deadline)
         finally:
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -196,7 +196,7 @@
         """Return whether a run of an item, possibly an abandoned one, may still be in flight."""
         return item_id in self._live_runs
 
-    def local_run_began(self) -> None:
+    def add_local_run(self) -> None:
         """Count a run that this node runs itself."""
         self._local_runs += 1
 
