--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -172,7 +172,7 @@
         try:
             return run.run(deadline)
         finally:
-            self._runners.local_run_ended()
+            self._runners.remove_local_run()
 
     def _local_run(self, task: ItemTask, route: Route) -> GenerationRun:
         job = task.state.job
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -200,7 +200,7 @@
         """Count a run that this node runs itself."""
         self._local_runs += 1
 
-    def local_run_ended(self) -> None:
+    def remove_local_run(self) -> None:
         """Stop counting a run that this node ran itself."""
         self._local_runs -= 1
 
