--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -483,7 +483,7 @@
         if self._term is None:
             reply = ItemRunProgressReply(False, [], [])
         else:
-            reply = self._term.runners.take_progress(peer, message)
+            reply = self._term.runners.apply_progress(peer, message)
         return MessageType.ITEM_RUN_PROGRESS_REPLY, reply
 
     def _handle_usage(self, peer: str, message: UsageCounts) -> tuple[int, UsageCountsReply]:
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -308,7 +308,7 @@
         if run_id in runner.runs:
             runner.unwanted.add(run_id)
 
-    def take_progress(self, peer: str, message: ItemRunProgress) -> ItemRunProgressReply:
+    def apply_progress(self, peer: str, message: ItemRunProgress) -> ItemRunProgressReply:
         """Apply a runner's progress message; a coordinating reply renews its lease."""
         known = self._invited.get(peer)
         if self._stopped or message.epoch != self._epoch or known is None:
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -119,7 +119,7 @@
         peers.on_call(
             MessageType.ITEM_RUN_PROGRESS,
             ItemRunProgress,
-            lambda peer, message: (0, made.take_progress(peer, message)),
+            lambda peer, message: (0, made.apply_progress(peer, message)),
         )
         made.set_open_items(1)
         made.start()
