--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -216,7 +216,7 @@
             tenant=job.tenant,
             on_trial=self._take_trial(task),
         )
-        return self._runners.new_run(runner, start, task.partial, self._loading(task))
+        return self._runners.create_run(runner, start, task.partial, self._loading(task))
 
     def _take_trial(self, task: ItemTask) -> bool:
         """Return whether a run is a trial, whose outcome the node that runs it records."""
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -169,7 +169,7 @@
                 return chosen
         return None
 
-    def new_run(
+    def create_run(
         self,
         runner: Runner,
         start: ItemRunStart,
--- a/src/runkeel/runners/service.py
+++ b/src/runkeel/runners/service.py
@@ -145,7 +145,7 @@
         """Return whether a later epoch than this one is known."""
         return self._known_epoch() > epoch
 
-    def new_run(
+    def create_run(
         self, message: ItemRunStart, loading: Callable[[], bool], on_ended: Callable[[], None]
     ) -> HostedRun | str:
         """Return a run that is not started yet, or the reason why it is refused."""
@@ -214,7 +214,7 @@
         if message.run_id in self._runs:
             return ItemRunStartReply(True, "known")
         run_id = message.run_id
-        run = self._service.new_run(
+        run = self._service.create_run(
             message, lambda: run_id in self._loading, self._update_ready.set
         )
         if isinstance(run, str):
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -101,7 +101,7 @@
             lambda address, epoch: None,
             lambda epoch, item, partial: self.kept_outputs.append((epoch, item, partial.pieces)),
         )
-        self.runner.new_run = self._host
+        self.runner.create_run = self._host
         self.addCleanup(self.runner.stop)
         self.pool = self._pool(1)
 
@@ -155,7 +155,7 @@
             minimum_version=1,
             single_version=False,
         )
-        return self.pool.new_run(self._joined(), start, PartialOutput(), lambda: False)
+        return self.pool.create_run(self._joined(), start, PartialOutput(), lambda: False)
 
     def _begin(self):
         """Start a run; returns it and the greenlet that waits for its end."""
