--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -474,7 +474,7 @@
         """
         coordinator = self._election.other_coordinator
         if coordinator is not None:
-            self._runner.end_earlier(coordinator.epoch)
+            self._runner.end_earlier_terms(coordinator.epoch)
             self._output_handover.offer(coordinator.node_id, coordinator.epoch)
 
     def _handle_progress(
--- a/src/runkeel/runners/service.py
+++ b/src/runkeel/runners/service.py
@@ -94,7 +94,7 @@
         """Number of runs at this node."""
         return len(self._assignment) if self._assignment is not None else 0
 
-    def end_earlier(self, epoch: int) -> None:
+    def end_earlier_terms(self, epoch: int) -> None:
         """End the runs of coordinators of earlier epochs; their outputs are kept."""
         if self._assignment is not None and self._assignment.epoch < epoch:
             self._end_assignment("a later coordinator is known")
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -229,7 +229,7 @@
 
     def test_runner_keeps_its_outputs_for_the_next_coordinator(self):
         self._begin()
-        self.runner.end_earlier(2)
+        self.runner.end_earlier_terms(2)
         self.assertEqual(self.kept_outputs, [(1, "i", ["a"])])
 
     def test_runs_end_when_their_coordinator_has_stepped_down(self):
