--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -52,7 +52,7 @@
 from runkeel.runners.service import RunnerService
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.state.observed_store import (
-    FOLLOWER_PROBE_SECONDS,
+    FOLLOWER_PROBE_INTERVAL_SECONDS,
     PROBE_SECONDS,
     ObservedStore,
 )
@@ -411,7 +411,7 @@
     def _probe_seconds(self) -> float:
         """Return the interval in seconds between probes of a failing store."""
         waits = self.configured and not self._settings.preferred_coordinator
-        return FOLLOWER_PROBE_SECONDS if waits else PROBE_SECONDS
+        return FOLLOWER_PROBE_INTERVAL_SECONDS if waits else PROBE_SECONDS
 
     def _watch_seconds(self) -> float:
         if self.coordinating:
--- a/src/runkeel/state/observed_store.py
+++ b/src/runkeel/state/observed_store.py
@@ -25,7 +25,7 @@
 PROBE_SECONDS = 0.4
 """Interval between calls to a failing store on a node that may become the coordinator."""
 
-FOLLOWER_PROBE_SECONDS = 1.5
+FOLLOWER_PROBE_INTERVAL_SECONDS = 1.5
 """Interval between calls to a failing store on a follower.
 
 Longer, since followers are many and learn from other nodes that the store has recovered.
--- a/tests/base/test_observed_store.py
+++ b/tests/base/test_observed_store.py
@@ -9,7 +9,7 @@
 from runkeel.errors import RunkeelError
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.state.observed_store import (
-    FOLLOWER_PROBE_SECONDS,
+    FOLLOWER_PROBE_INTERVAL_SECONDS,
     MAX_FAILURE_AGE_SECONDS,
     MIN_FAILURE_SPAN_SECONDS,
     MIN_OUTAGE_SECONDS,
@@ -58,7 +58,7 @@
 
     def test_outage_with_few_probes_is_recorded(self):
         """A follower may have seen only two failures, the last one 1.5 s before the response."""
-        quiet_seconds = FOLLOWER_PROBE_SECONDS + CALL_TIMEOUT_SECONDS - 0.1
+        quiet_seconds = FOLLOWER_PROBE_INTERVAL_SECONDS + CALL_TIMEOUT_SECONDS - 0.1
         self.assertTrue(
             self._recover_after(quiet_seconds + MIN_FAILURE_SPAN_SECONDS, quiet_seconds)
         )
