--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -114,7 +114,8 @@
         order_pause_seconds: minimum time between orders to engines from two different nodes.
         preferred_coordinator: whether this node is preferred over nodes that serve clients when a
             coordinator is elected.
-        max_propagation_seconds: maximum time until all nodes know a change of configuration or back ends.
+        max_propagation_seconds: maximum time until all nodes know a change of configuration or
+            back ends.
         data_folder: folder on the local disk; None if this machine is not a storage node.
         first_start: whether the whole system starts for the first time, without a coordinator.
         usage: settings of the usage reports; None if the platform wants none.
--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -80,10 +80,10 @@
     Args:
         newest_version: returns the newest version of a model, as announced by its trainer.
         on_superseded: called with the reason when a segment of a later epoch is found.
-        partial_outputs_expected: another node may offer partial outputs of the previous term; placement
-            waits for them, up to :data:`PARTIAL_OUTPUT_WAIT_SECONDS`.
-        previous_term_drain_seconds: given the number of items of all open jobs, returns for how many
-            seconds of the term other nodes may still run items for the previous coordinator.
+        partial_outputs_expected: another node may offer partial outputs of the previous term;
+            placement waits for them, up to :data:`PARTIAL_OUTPUT_WAIT_SECONDS`.
+        previous_term_drain_seconds: given the number of items of all open jobs, returns for how
+            many seconds of the term other nodes may still run items for the previous coordinator.
 
     Attributes:
         loaded: set once the initial load has finished or timed out; :meth:`demand` is valid from
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -62,8 +62,8 @@
         needed: set while the store must be queried; None if it always must.
         idle_probe_interval_seconds: interval at which a failed store is probed while it need not be
             queried.
-        expiry_grace_seconds: how long documents that expired during an outage are retained after it, as
-            live owners write them again.
+        expiry_grace_seconds: how long documents that expired during an outage are retained after
+            it, as live owners write them again.
         recovered_at: returns the steady time, in seconds, at which the store recovered from the
             last such outage.
         first_list: required freshness of the first list. Any age is sufficient if the caller waits
