--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -33,7 +33,7 @@
 from runkeel.jobs.scheduler import Scheduler
 from runkeel.metrics import JOBS
 from runkeel.state.document_watcher import DocumentWatcher
-from runkeel.state.unchanging import get_immutable
+from runkeel.state.immutable_documents import get_immutable
 
 LOAD_RETRY_SECONDS = 0.2
 """Pause before a failed read of a job is retried."""
--- a/src/runkeel/jobs/job_store.py
+++ b/src/runkeel/jobs/job_store.py
@@ -28,7 +28,7 @@
     part_names,
     segment_name,
 )
-from runkeel.state.unchanging import get_immutable
+from runkeel.state.immutable_documents import get_immutable
 
 MAX_PART_ATTEMPTS = 3
 """Bound on the attempts to write a part when replies are lost."""
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -24,7 +24,7 @@
 from runkeel.jobs.job_store import JobStore, JobSubmission
 from runkeel.jobs.result_cache import ResultCache
 from runkeel.metrics import JOBS
-from runkeel.state.unchanging import get_immutable
+from runkeel.state.immutable_documents import get_immutable
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import (
     JobAccepted,
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -10,7 +10,7 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs.job_documents import MAX_PART_BYTES, encode_segment, segment_name
 from runkeel.jobs.job_store import JobStore, JobSubmission
-from runkeel.state.unchanging import get_immutable
+from runkeel.state.immutable_documents import get_immutable
 from runkeel_lab.standins.document_store import MemoryDocumentStore, StoreFault
 from tests.jobs.test_job_service import JOB_ID, make_job
 
