--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -27,13 +27,13 @@
 from runkeel.api.machines import Address
 from runkeel.clock import steady_seconds
 from runkeel.coordination import pings
+from runkeel.coordination.advertised_nodes import AdvertisedNodes
 from runkeel.coordination.coordinator_document import Coordinator
 from runkeel.coordination.overlay import Overlay, neighbours_digest
 from runkeel.coordination.peers import LAST_RANK, PeerRegistry
 from runkeel.coordination.pings import PingSender
 from runkeel.coordination.succession import Succession
 from runkeel.coordination.tentative_place import STORE_CHECK_INTERVAL_SECONDS, TentativeTerm
-from runkeel.coordination.told_nodes import AdvertisedNodes
 from runkeel.coordination.witnesses import reached_by_others
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.handoff.keeper_quorum import KnownStorageNodes, StorageNode
--- a/src/runkeel/coordination/tentative_place.py
+++ b/src/runkeel/coordination/tentative_place.py
@@ -11,10 +11,10 @@
 from loguru import logger
 
 from runkeel.clock import steady_seconds
+from runkeel.coordination.advertised_nodes import AdvertisedNodes
 from runkeel.coordination.coordinator_document import Coordinator
 from runkeel.coordination.pings import PingSender
 from runkeel.coordination.succession import Succession
-from runkeel.coordination.told_nodes import AdvertisedNodes
 from runkeel.wire.generated.jobs.ttypes import CoordinatorPong
 
 STORE_CHECK_INTERVAL_SECONDS = 0.1
