--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -12,7 +12,7 @@
 from runkeel.api.fleet import Backend
 from runkeel.backends.http_connection import HttpConnectionPool
 from runkeel.clock import steady_seconds
-from runkeel.gateway.directory_news import BackendChangeLog
+from runkeel.gateway.backend_change_log import BackendChangeLog
 from runkeel.gateway.indexed_set import IndexedSet
 from runkeel.gateway.server_starts import IncarnationTracker, is_reported
 
--- a/tests/gateway/test_directory_news.py
+++ b/tests/gateway/test_backend_change_log.py
@@ -6,7 +6,7 @@
 import gevent
 from loguru import logger
 
-from runkeel.gateway import directory_news
+from runkeel.gateway import backend_change_log
 from runkeel.gateway.backends import BackendDirectory
 from tests.gateway.test_backends import make_backend
 
@@ -19,7 +19,7 @@
         self.lines = []
         sink = logger.add(lambda message: self.lines.append(message.record["extra"]))
         self.addCleanup(logger.remove, sink)
-        short_batch = mock.patch.object(directory_news, "BATCH_SECONDS", 0.02)
+        short_batch = mock.patch.object(backend_change_log, "BATCH_SECONDS", 0.02)
         short_batch.start()
         self.addCleanup(short_batch.stop)
         self.directory = BackendDirectory()
@@ -39,7 +39,7 @@
             self._put(f"s{number}")
         (line,) = self._logged()
         self.assertEqual(
-            (line["joined_count"], len(line["joined"])), (MANY, directory_news.MAX_LISTED)
+            (line["joined_count"], len(line["joined"])), (MANY, backend_change_log.MAX_LISTED)
         )
 
     def test_joined_draining_and_gone_servers_are_listed(self):
