--- a/src/runkeel/jobs/text_hand_over.py
+++ b/src/runkeel/jobs/text_hand_over.py
@@ -15,7 +15,11 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_replication import CALL_TIMEOUT_SECONDS, PartialOutputCopies, make_update
+from runkeel.jobs.partial_output_replication import (
+    CALL_TIMEOUT_SECONDS,
+    PartialOutputCopies,
+    make_update,
+)
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import TextReplication, TextReplicationReply, TextUpdate
 from runkeel.wire.network import PeerNetwork
--- a/tests/jobs/test_text_replication.py
+++ b/tests/jobs/test_partial_output_replication.py
@@ -5,7 +5,7 @@
 
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_replication import (
+from runkeel.jobs.partial_output_replication import (
     MAX_MESSAGE_BYTES,
     PartialOutputCopies,
     PartialOutputSender,
--- a/tests/jobs/test_text_fuzz.py
+++ b/tests/jobs/test_text_fuzz.py
@@ -8,7 +8,7 @@
 from hypothesis import Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from runkeel.jobs import text_journal, text_replication
+from runkeel.jobs import partial_output_replication, text_journal
 from tests.fuzzing import find_violation
 from tests.jobs.text_machine import TextMachine
 
@@ -40,7 +40,7 @@
     return make_update(item_id, output, known)
 
 
-make_update = text_replication.make_update
+make_update = partial_output_replication.make_update
 
 
 class TextFuzzTest(unittest.TestCase):
@@ -53,11 +53,11 @@
         self.assertIsNotNone(violation)
 
     def test_joined_runs_are_found(self):
-        with mock.patch.object(text_replication, "_continues", continues_with_gap):
-            self.check_found(text_replication, "make_update", update_of_any_run)
+        with mock.patch.object(partial_output_replication, "_continues", continues_with_gap):
+            self.check_found(partial_output_replication, "make_update", update_of_any_run)
 
     def test_gaps_are_found(self):
-        self.check_found(text_replication, "_continues", continues_with_gap)
+        self.check_found(partial_output_replication, "_continues", continues_with_gap)
 
     def test_contract_holds_without_checksums(self):
         def ignore_checksum(body, clock):
--- a/tests/jobs/test_text_hand_over.py
+++ b/tests/jobs/test_text_hand_over.py
@@ -5,10 +5,10 @@
 import gevent
 
 from runkeel.clock import steady_seconds
+from runkeel.jobs.partial_output_replication import PartialOutputCopies, PartialOutputSender
 from runkeel.jobs.text_hand_over import PartialOutputHandover
-from runkeel.jobs.text_replication import PartialOutputCopies, PartialOutputSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
-from tests.jobs.test_text_replication import make_output
+from tests.jobs.test_partial_output_replication import make_output
 
 WAIT_TIMEOUT_SECONDS = 5.0
 
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_text_journal.py
@@ -6,14 +6,14 @@
 from pathlib import Path
 from unittest import mock
 
-from runkeel.jobs import text_journal, text_replication
+from runkeel.jobs import partial_output_replication, text_journal
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_journal import PartialOutputJournal
-from runkeel.jobs.text_replication import (
+from runkeel.jobs.partial_output_replication import (
     RETENTION_SECONDS,
     PartialOutputCopies,
     PartialOutputSender,
 )
+from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
@@ -102,7 +102,7 @@
     def test_outputs_larger_than_a_message_are_written_in_several_records(self):
         """Guards against a record too large to encode, which ends the writer's task."""
         sender, _ = self._process()
-        piece = "x" * (text_replication.MAX_MESSAGE_BYTES // 2)
+        piece = "x" * (partial_output_replication.MAX_MESSAGE_BYTES // 2)
         self.outputs = {f"t{n}": PartialOutput([piece], "1", [1]) for n in range(40)}
         sender.send_once()
         self.assertEqual(sorted(self._process(epoch=2)[1]), sorted(self.outputs))
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/text_machine.py
@@ -16,8 +16,8 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs import text_journal
 from runkeel.jobs.generation_run import PartialOutput
+from runkeel.jobs.partial_output_replication import PartialOutputCopies, PartialOutputSender
 from runkeel.jobs.text_journal import PartialOutputJournal
-from runkeel.jobs.text_replication import PartialOutputCopies, PartialOutputSender
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 ITEMS = 1
