--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -23,10 +23,10 @@
 from runkeel.jobs.generation_run import PartialOutput
 from runkeel.jobs.job_copies import CopiedJob, JobCopySender
 from runkeel.jobs.job_documents import EncodedJob
+from runkeel.jobs.partial_output_journal import PartialOutputJournal
 from runkeel.jobs.partial_output_replication import PartialOutputSender
 from runkeel.jobs.scheduler import Scheduler
 from runkeel.jobs.scorer import Scorer
-from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.runners.lease import LOCAL_RUNS, LOST_SECONDS
 from runkeel.runners.pool import RunnerPool
--- a/src/runkeel/jobs/partial_output_replication.py
+++ b/src/runkeel/jobs/partial_output_replication.py
@@ -3,7 +3,7 @@
 The coordinator periodically sends each successor the events added since the last update. A
 successor that becomes coordinator continues each generation after the last event that it has,
 instead of restarting it. A lost copy costs time, never a result. Nodes with a disk also write
-partial outputs to a journal, see :mod:`runkeel.jobs.text_journal`.
+partial outputs to a journal, see :mod:`runkeel.jobs.partial_output_journal`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 from runkeel.jobs.generation_run import PartialOutput
-from runkeel.jobs.text_journal import JournalRecord, PartialOutputJournal
+from runkeel.jobs.partial_output_journal import JournalRecord, PartialOutputJournal
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import TextReplication, TextReplicationReply, TextUpdate
 from runkeel.wire.network import PeerNetwork
--- a/tests/jobs/test_text_journal.py
+++ b/tests/jobs/test_partial_output_journal.py
@@ -6,14 +6,14 @@
 from pathlib import Path
 from unittest import mock
 
-from runkeel.jobs import partial_output_replication, text_journal
+from runkeel.jobs import partial_output_journal, partial_output_replication
 from runkeel.jobs.generation_run import PartialOutput
+from runkeel.jobs.partial_output_journal import PartialOutputJournal
 from runkeel.jobs.partial_output_replication import (
     RETENTION_SECONDS,
     PartialOutputCopies,
     PartialOutputSender,
 )
-from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
@@ -94,7 +94,9 @@
             "i": self._make_output(1)
         }
         sizes = []
-        with mock.patch.object(text_journal, "_encode", wraps=text_journal._encode) as encode:
+        with mock.patch.object(
+            partial_output_journal, "_encode", wraps=partial_output_journal._encode
+        ) as encode:
             self._write_steps(sender, 10)
             sizes = [len(call.args[0].updates) for call in encode.call_args_list]
         self.assertEqual(sizes, [41] + [1] * 9)
@@ -128,10 +130,10 @@
     def test_failed_disk_is_retried_later_with_all_outputs(self):
         sender, _ = self._process()
         self.outputs["i"] = self._make_output(2)
-        with mock.patch.object(text_journal.os, "fdatasync", side_effect=OSError("disk")):
+        with mock.patch.object(partial_output_journal.os, "fdatasync", side_effect=OSError("disk")):
             self._write_steps(sender, 2)
         self._write_steps(sender, 1)
-        sender._journal._failed_at = -text_journal.RETRY_DELAY_SECONDS
+        sender._journal._failed_at = -partial_output_journal.RETRY_DELAY_SECONDS
         self._write_steps(sender, 1)
         self.assertEqual(self._process(epoch=2)[1]["i"].last_event_id, "6")
 
@@ -160,14 +162,16 @@
         sender, _ = self._process()
         for name, age in (("old", RETENTION_SECONDS + 1.0), ("i", 1.0)):
             self.outputs[name] = self._make_output(2)
-            with mock.patch.object(text_journal.time, "time", return_value=now - age):
+            with mock.patch.object(partial_output_journal.time, "time", return_value=now - age):
                 sender.send_once()
         self.assertEqual(list(self._process(epoch=2)[1]), ["i"])
 
     def test_outputs_are_restored_after_the_clock_was_set_back(self):
         sender, _ = self._process()
         self.outputs["i"] = self._make_output(2)
-        with mock.patch.object(text_journal.time, "time", return_value=time.time() + 3600.0):
+        with mock.patch.object(
+            partial_output_journal.time, "time", return_value=time.time() + 3600.0
+        ):
             sender.send_once()
         self.assertEqual(list(self._process(epoch=2)[1]), ["i"])
 
--- a/tests/jobs/test_text_fuzz.py
+++ b/tests/jobs/test_text_fuzz.py
@@ -8,7 +8,7 @@
 from hypothesis import Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from runkeel.jobs import partial_output_replication, text_journal
+from runkeel.jobs import partial_output_journal, partial_output_replication
 from tests.fuzzing import find_violation
 from tests.jobs.text_machine import TextMachine
 
@@ -63,7 +63,7 @@
         def ignore_checksum(body, clock):
             return 0
 
-        with mock.patch.object(text_journal, "_checksum", ignore_checksum):
+        with mock.patch.object(partial_output_journal, "_checksum", ignore_checksum):
             # Decompression still detects a truncated record.
             run_state_machine_as_test(TextMachine, settings=fuzz_settings(EXAMPLES // 3))
 
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/text_machine.py
@@ -14,10 +14,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.jobs import text_journal
+from runkeel.jobs import partial_output_journal
 from runkeel.jobs.generation_run import PartialOutput
+from runkeel.jobs.partial_output_journal import PartialOutputJournal
 from runkeel.jobs.partial_output_replication import PartialOutputCopies, PartialOutputSender
-from runkeel.jobs.text_journal import PartialOutputJournal
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 ITEMS = 1
@@ -54,7 +54,7 @@
         super().__init__()
         self.folder = Path(tempfile.mkdtemp(prefix="runkeel-texts-"))
         self.patches = [
-            mock.patch.object(text_journal.os, name, lambda descriptor: None)
+            mock.patch.object(partial_output_journal.os, name, lambda descriptor: None)
             for name in ("fdatasync", "fsync")
         ]
         for patch in self.patches:
