--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -42,11 +42,11 @@
 from runkeel.jobs.job_copies import ReceivedJobCopies
 from runkeel.jobs.job_documents import EncodedJob
 from runkeel.jobs.job_state import JobState
+from runkeel.jobs.partial_output_handover import PartialOutputHandover
 from runkeel.jobs.partial_output_journal import PartialOutputJournal
 from runkeel.jobs.partial_output_replication import PartialOutputCopies
 from runkeel.jobs.scorer import Scorer
 from runkeel.jobs.service import JobService
-from runkeel.jobs.text_hand_over import PartialOutputHandover
 from runkeel.lateness import LoopLagMonitor
 from runkeel.quarantine.service import QuarantineService
 from runkeel.runners.service import RunnerService
--- a/tests/jobs/test_text_hand_over.py
+++ b/tests/jobs/test_partial_output_handover.py
@@ -5,8 +5,8 @@
 import gevent
 
 from runkeel.clock import steady_seconds
+from runkeel.jobs.partial_output_handover import PartialOutputHandover
 from runkeel.jobs.partial_output_replication import PartialOutputCopies, PartialOutputSender
-from runkeel.jobs.text_hand_over import PartialOutputHandover
 from runkeel_lab.standins.peer_network import MemoryNetwork
 from tests.jobs.test_partial_output_replication import make_output
 
