--- a/src/runkeel/gateway/deferrable_calls.py
+++ b/src/runkeel/gateway/deferrable_calls.py
@@ -50,7 +50,7 @@
         now: steady clock, in seconds.
 
     Attributes:
-        under_way: deferrable calls in flight.
+        calls_in_flight: deferrable calls in flight.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         """The limit as a fraction of its maximum."""
         self._grown_at = now()
         self._decreased_at = -MIN_DECREASE_INTERVAL_SECONDS
-        self.under_way = 0
+        self.calls_in_flight = 0
 
     @property
     def limit(self) -> int:
@@ -75,7 +75,7 @@
     @property
     def has_free_slot(self) -> bool:
         """Whether another call may start."""
-        return self.under_way < self.limit
+        return self.calls_in_flight < self.limit
 
     def note_refused(self) -> None:
         """Decrease the limit after a server was full."""
@@ -124,11 +124,11 @@
         if not self._wait_for_slot(service, limit, deadline):
             yield False
             return
-        limit.under_way += 1
+        limit.calls_in_flight += 1
         try:
             yield True
         finally:
-            limit.under_way -= 1
+            limit.calls_in_flight -= 1
             self._wake_next(service, limit)
 
     def _wait_for_slot(self, service: str, limit: DeferrableLimit, deadline: float) -> bool:
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -197,7 +197,8 @@
         calls = self._node.deferrable_calls
         limits = [(service, calls.limit_of(service)) for service in calls.services()]
         return [
-            (service, one.limit, one.under_way, calls.waiting(service)) for service, one in limits
+            (service, one.limit, one.calls_in_flight, calls.waiting(service))
+            for service, one in limits
         ]
 
     def _kept_job_rows(self) -> list[Row]:
--- a/tests/gateway/test_deferrable_calls.py
+++ b/tests/gateway/test_deferrable_calls.py
@@ -79,7 +79,7 @@
     def call(self, name, seconds=0.02):
         with self.calls.place(SERVICE, steady_seconds() + FAR) as granted:
             self.begun.append((name, granted))
-            self.most = max(getattr(self, "most", 0), self.calls.limit_of(SERVICE).under_way)
+            self.most = max(getattr(self, "most", 0), self.calls.limit_of(SERVICE).calls_in_flight)
             gevent.sleep(seconds)
 
     def test_calls_start_in_order_of_arrival(self):
@@ -105,7 +105,7 @@
         ended.kill()
         gevent.joinall([*blockers, after])
         self.assertEqual(self.begun[-1], ("after", True))
-        self.assertEqual(self.calls.limit_of(SERVICE).under_way, 0)
+        self.assertEqual(self.calls.limit_of(SERVICE).calls_in_flight, 0)
 
     def test_services_have_independent_limits(self):
         blockers = [gevent.spawn(self.call, n, 0.2) for n in range(2 * SERVERS * SLOTS)]
