--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -55,14 +55,14 @@
     Attributes:
         pieces: data of the events received.
         versions: weight versions that generated the events, in order of appearance.
-        whole: the end of the generation was received.
+        complete: the end of the generation was received.
         generation: unique within the process; changes when the output is cleared.
     """
 
     pieces: list[str] = field(default_factory=list)
     last_event_id: str | None = None
     versions: list[int] = field(default_factory=list)
-    whole: bool = False
+    complete: bool = False
     generation: int = field(default_factory=lambda: next(_generations))
 
     def clear(self) -> None:
@@ -70,7 +70,7 @@
         self.pieces.clear()
         self.versions.clear()
         self.last_event_id = None
-        self.whole = False
+        self.complete = False
         self.generation = next(_generations)
 
     @property
@@ -192,7 +192,7 @@
                 version = self._append_event(block, version)
                 if version < 0:
                     return RunOutcome.OLD_VERSION
-        self._partial.whole = True
+        self._partial.complete = True
         self._state.answered_at = steady_seconds()
         self._watched.succeeded()
         return RunOutcome.COMPLETE
--- a/src/runkeel/jobs/item_queue.py
+++ b/src/runkeel/jobs/item_queue.py
@@ -107,7 +107,7 @@
         self._entry_by_key[task.key] = entry_id
         self._by_item[task.key[1]] = task
         self._by_job.setdefault(task.key[0], {})[task.key] = task
-        if task.partial.whole or task.reserved_engine is not None:
+        if task.partial.complete or task.reserved_engine is not None:
             self._valid_entries[entry_id] = task, None
             self._ready[task.key] = task
         elif task.not_before > steady_seconds():
--- a/src/runkeel/jobs/partial_output_handover.py
+++ b/src/runkeel/jobs/partial_output_handover.py
@@ -152,7 +152,7 @@
 
 def _make_offer(item_id: str, output: PartialOutput) -> TextUpdate:
     count, versions = len(output.pieces), list(output.versions)
-    return TextUpdate(item_id, output.generation, count, [], "", versions, output.whole)
+    return TextUpdate(item_id, output.generation, count, [], "", versions, output.complete)
 
 
 def _decode_output(update: TextUpdate) -> PartialOutput:
--- a/src/runkeel/jobs/partial_output_replication.py
+++ b/src/runkeel/jobs/partial_output_replication.py
@@ -198,7 +198,7 @@
 def make_update(item_id: str, output: PartialOutput, sent: SentOutput | None) -> TextUpdate | None:
     """Return the part of an output that a receiver lacks; None if it is up to date."""
     first = sent.pieces if sent is not None and sent.generation == output.generation else 0
-    if sent is not None and first == len(output.pieces) and sent.whole == output.whole:
+    if sent is not None and first == len(output.pieces) and sent.whole == output.complete:
         return None
     return TextUpdate(
         item_id,
@@ -207,7 +207,7 @@
         list(output.pieces[first:]),
         output.last_event_id or "",
         list(output.versions),
-        output.whole,
+        output.complete,
     )
 
 
@@ -329,7 +329,7 @@
         copy.output.pieces.extend(update.pieces)
         copy.output.last_event_id = update.last_event_id or None
         copy.output.versions = list(update.versions)
-        copy.output.whole = update.whole
+        copy.output.complete = update.whole
         copy.updated_at = now
         return True
 
@@ -348,4 +348,4 @@
 
 def _with_own_generation(output: PartialOutput) -> PartialOutput:
     """Return a copy of an output with a new generation number of this process."""
-    return PartialOutput(output.pieces, output.last_event_id, output.versions, output.whole)
+    return PartialOutput(output.pieces, output.last_event_id, output.versions, output.complete)
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -264,7 +264,7 @@
             self._withdraw(task)
         elif route is not None and time.time() > expires_at(task.state.job, route):
             self._fail(task, "waited too long")
-        elif route is not None and task.partial.whole:
+        elif route is not None and task.partial.complete:
             self._release_reserved_slot(task)
             self._start(task, route, None)
         else:
--- a/src/runkeel/runners/hosted_run.py
+++ b/src/runkeel/runners/hosted_run.py
@@ -60,7 +60,7 @@
             loading,
         )
         self._reported_pieces = 0
-        self._reported_whole = False
+        self._reported_complete = False
         self._outcome = ""
         self._detail = ""
         self._score = ""
@@ -85,7 +85,7 @@
         """Whether there is anything that was not reported to the coordinator yet."""
         all_reported = (
             self._reported_pieces == len(self._output.pieces)
-            and self._reported_whole == self._output.whole
+            and self._reported_complete == self._output.complete
         )
         return bool(self._outcome) or not all_reported
 
@@ -110,7 +110,7 @@
             list(output.pieces[self._reported_pieces :]),
             output.last_event_id or "",
             list(output.versions),
-            output.whole,
+            output.complete,
             self._outcome,
             self._detail,
             self._score,
@@ -119,7 +119,7 @@
     def mark_reported(self, update: ItemRunUpdate) -> bool:
         """Record that the coordinator has received an update; returns whether it was the last."""
         self._reported_pieces = update.first_piece + len(update.pieces)
-        self._reported_whole = update.whole
+        self._reported_complete = update.whole
         return bool(update.outcome)
 
     def _run_to_end(self) -> None:
--- a/src/runkeel/runners/remote_run.py
+++ b/src/runkeel/runners/remote_run.py
@@ -118,7 +118,7 @@
             self.events += len(fresh)
             self.first_event_at = self.first_event_at or now
             self.last_event_at = now
-        partial.whole = partial.whole or update.whole
+        partial.complete = partial.complete or update.whole
         if update.outcome:
             self._apply_outcome(update)
 
--- a/tests/jobs/test_item_queue.py
+++ b/tests/jobs/test_item_queue.py
@@ -88,7 +88,7 @@
 
     def test_complete_outputs_need_no_lane(self):
         task = self._task()
-        task.partial.whole = True
+        task.partial.complete = True
         self.queue.put(task)
         self.assertEqual((self.queue.ready(), self.queue.lanes()), ([task], []))
 
--- a/tests/jobs/test_partial_output_handover.py
+++ b/tests/jobs/test_partial_output_handover.py
@@ -55,7 +55,7 @@
         self._wait(lambda: len(self.receiver.adopted) == 2)
         output = self.receiver.adopted["i"]
         self.assertEqual((output.pieces, output.last_event_id), (["x", "y"], "2"))
-        self.assertEqual((output.versions, output.whole), ([1, 2], False))
+        self.assertEqual((output.versions, output.complete), ([1, 2], False))
         self.assertNotIn("k", self.receiver.adopted)
         self.assertEqual(self.receiver.offered, dict.fromkeys("ijk", (1, 2)))
 
--- a/tests/jobs/test_partial_output_replication.py
+++ b/tests/jobs/test_partial_output_replication.py
@@ -14,8 +14,8 @@
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
-def make_output(*pieces, versions=(1,), whole=False):
-    return PartialOutput(list(pieces), str(len(pieces)), list(versions), whole)
+def make_output(*pieces, versions=(1,), complete=False):
+    return PartialOutput(list(pieces), str(len(pieces)), list(versions), complete)
 
 
 class TextReplicationTest(unittest.TestCase):
@@ -94,9 +94,9 @@
     def test_completion_is_replicated(self):
         output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
-        output.whole = True
+        output.complete = True
         self.sender.send_once()
-        self.assertTrue(self.copies.take()["i"].whole)
+        self.assertTrue(self.copies.take()["i"].complete)
 
     def test_lost_update_is_sent_again(self):
         output = self.outputs["i"] = make_output("x")
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -290,17 +290,17 @@
         self._take(0, ["a", "b", "c"])
         self._take(3, ["d"], whole=True, outcome="complete", score="s")
         self.assertEqual(self.partial.pieces, ["a", "b", "c", "d"])
-        self.assertEqual((self.partial.last_event_id, self.partial.whole), ("4", True))
+        self.assertEqual((self.partial.last_event_id, self.partial.complete), ("4", True))
         self.assertEqual((self.run._outcome, self.run.score), (RunOutcome.COMPLETE, "s"))
 
     def test_output_never_skips_a_piece(self):
         self._take(0, ["a"])
         self._take(2, ["c"], whole=True)
-        self.assertEqual((self.partial.pieces, self.partial.whole), (["a"], False))
+        self.assertEqual((self.partial.pieces, self.partial.complete), (["a"], False))
         self.assertEqual(self.unwanted, ["1.1"])
         self._take(2, ["c"], whole=True, outcome="complete")
         self.assertIs(self.run._outcome, RunOutcome.BROKEN)
-        self.assertFalse(self.partial.whole)
+        self.assertFalse(self.partial.complete)
 
     def test_output_that_could_not_be_scored_is_reported_as_such(self):
         self._take(0, ["a"], whole=True, outcome="scoring_failed", detail="4 failures")
