--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -78,7 +78,7 @@
         """Sort key among outputs of one item; larger is better: newer weights, then more events."""
         return min(self.versions, default=0), len(self.pieces)
 
-    def fits(self, minimum_version: int, single_version: bool) -> bool:
+    def satisfies_versions(self, minimum_version: int, single_version: bool) -> bool:
         """Return whether the output complies with a job's restrictions on weight versions."""
         if any(version < minimum_version for version in self.versions):
             return False
