--- a/src/runkeel/jobs/partial_output_handover.py
+++ b/src/runkeel/jobs/partial_output_handover.py
@@ -43,7 +43,7 @@
     def needs_output(self, item_id: str, precedence: tuple[int, int]) -> bool:
         """Return whether an item would continue from an output of this precedence."""
 
-    def adopt_output(self, item_id: str, text: PartialOutput) -> None:
+    def adopt_output(self, item_id: str, output: PartialOutput) -> None:
         """Let an item that has not started continue from an output."""
 
 
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -137,19 +137,19 @@
         known = task.partial if task is not None else self._retained.get(item_id)
         return known is None or known.precedence < precedence
 
-    def adopt_output(self, item_id: str, text: PartialOutput) -> None:
+    def adopt_output(self, item_id: str, output: PartialOutput) -> None:
         """Continue an item from a better partial output, if its job accepts the versions."""
-        if not self.needs_output(item_id, text.precedence):
+        if not self.needs_output(item_id, output.precedence):
             return
         running = self._running.of_item(item_id)
         if running is not None:
-            self._switch_to_output(running, text)
+            self._switch_to_output(running, output)
             return
         task = self._queue.of_item(item_id)
         if task is None:
-            self._retained.keep(item_id, text)
+            self._retained.keep(item_id, output)
             return
-        self._resume_from(task, text)
+        self._resume_from(task, output)
         self._queue.put(task)
 
     def _switch_to_output(self, task: ItemTask, output: PartialOutput) -> None:
