--- a/src/runkeel/coordination/rollout_plan.py
+++ b/src/runkeel/coordination/rollout_plan.py
@@ -40,13 +40,13 @@
         minimum_version: oldest version that every open job accepts.
         slack: number of versions behind the newest that the latest job accepts.
         items: recent maximum of concurrently open items; None if there was no job yet.
-        pressed: whether items have recently waited long for an engine.
+        backlogged: whether items have recently waited long for an engine.
     """
 
     minimum_version: int = 0
     max_version_lag: int = 0
     items: int | None = None
-    pressed: bool = False
+    backlogged: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,7 +172,7 @@
     if demand.items is None:
         return statuses
     slots = max((one.state.backend.slots for one in statuses), default=1)
-    factor = SLOTS_PER_ITEM_BACKLOGGED if demand.pressed else SLOTS_PER_ITEM
+    factor = SLOTS_PER_ITEM_BACKLOGGED if demand.backlogged else SLOTS_PER_ITEM
     needed = max(MIN_ENGINES, -(-int(demand.items * factor) // max(1, slots)))
     return _newest_first(model, statuses)[:needed]
 
--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -220,8 +220,8 @@
             0 if latest is None else max(0, latest.newest_version - latest.minimum_version)
         )
         items = max(self._recent_item_counts.get(model, ()), default=None)
-        pressed = self._scheduler.pressed(model)
-        return ModelDemand(max(open_jobs, default=0), max_version_lag, items, pressed)
+        backlogged = self._scheduler.backlogged(model)
+        return ModelDemand(max(open_jobs, default=0), max_version_lag, items, backlogged)
 
     def page(self, state: JobState, position: int, wait: float, max_bytes: int) -> ResultPage:
         """Return results from a position on, waiting up to ``wait`` seconds for the first."""
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -187,7 +187,7 @@
         """Return whether an item's result was listed recently, so that its output is not needed."""
         return self._finished.is_listed(item_id)
 
-    def pressed(self, model: str) -> bool:
+    def backlogged(self, model: str) -> bool:
         """Return whether items of a model have recently waited long for an engine."""
         return (
             steady_seconds() - self._backlogged_at.get(model, -BACKLOG_HOLD_SECONDS)
--- a/tests/coordination/test_version_rollout.py
+++ b/tests/coordination/test_version_rollout.py
@@ -136,7 +136,7 @@
         self.targets = {}
         self.minimum = {}
         self.items = None
-        self.pressed = False
+        self.backlogged = False
         self.reached = []
         self.store = UnreachableStore(timeout_seconds=1.0)
         lease = OrderLease(self.store, "fleet", "node", 3.0)
@@ -148,7 +148,7 @@
             lambda: configuration,
             self.targets,
             lambda model: ModelDemand(
-                self.minimum.get(model, 0), max_version_lag, self.items, self.pressed
+                self.minimum.get(model, 0), max_version_lag, self.items, self.backlogged
             ),
             lambda backend_id, model, version: self.reached.append((backend_id, version)),
             lambda backend_id: 0,
@@ -208,7 +208,7 @@
     def test_more_engines_change_when_items_wait(self):
         self._start(6)
         self.items = 16
-        self.pressed = True
+        self.backlogged = True
         self._publish(2)
         self._wait_versions(1, 2, 2, 2, 2, 2)
 
--- a/tests/jobs/test_coordinator.py
+++ b/tests/jobs/test_coordinator.py
@@ -37,7 +37,7 @@
     def drop(self, state):
         pass
 
-    def pressed(self, model):
+    def backlogged(self, model):
         return False
 
 
