--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -139,7 +139,7 @@
             # Runners keep copies of the partial outputs of their own runs.
             lambda: dependencies.election.copy_holders(keepers=not self.runners.needed),
             dependencies.journal,
-            self.scheduler.finished,
+            self.scheduler.is_finished,
         )
         self._copy_sender = JobCopySender(
             dependencies.network,
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -183,7 +183,7 @@
         tasks = [*self._finished.unlisted(), *self._running, *self._queue.tasks()]
         return {task.item.item_id: task.partial for task in tasks if task.partial.pieces}
 
-    def finished(self, item_id: str) -> bool:
+    def is_finished(self, item_id: str) -> bool:
         """Return whether an item's result was listed recently, so that its output is not needed."""
         return self._finished.is_listed(item_id)
 
