--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -157,7 +157,7 @@
             self.targets,
             lambda model: self.jobs.demand(model, self.targets.get(model, 0)),
             self._on_version_loaded,
-            self._placement.load,
+            self._placement.slots_in_use,
             self.scheduler.move_items_before_load,
         )
         self.jobs = JobCoordinator(
@@ -264,7 +264,7 @@
 
     def forget(self, state: BackendState) -> None:
         """Drop the state of a server incarnation that is gone or was replaced."""
-        self._placement.forget(state)
+        self._placement.forget_versions(state)
         self._rollout.forget(state)
 
     def _on_model_version(self, document: Document, removed: bool) -> None:
--- a/src/runkeel/jobs/engine_placement.py
+++ b/src/runkeel/jobs/engine_placement.py
@@ -68,23 +68,23 @@
         self._speeds = EngineSpeeds()
         self.versions: dict[tuple[str, str], int] = {}
 
-    def load(self, incarnation: str) -> int:
+    def slots_in_use(self, incarnation: str) -> int:
         """Return the number of slots of an engine that are taken."""
         return self._loads.get(incarnation, 0)
 
-    def take(self, engine: BackendState) -> None:
-        self._loads[engine.incarnation] = self.load(engine.incarnation) + 1
+    def acquire_slot(self, engine: BackendState) -> None:
+        self._loads[engine.incarnation] = self.slots_in_use(engine.incarnation) + 1
         self._update_free_engines(engine)
 
     def release(self, engine: BackendState) -> None:
-        left = self.load(engine.incarnation) - 1
+        left = self.slots_in_use(engine.incarnation) - 1
         if left > 0:
             self._loads[engine.incarnation] = left
         else:
             self._loads.pop(engine.incarnation, None)
         self._update_free_engines(engine)
 
-    def forget(self, engine: BackendState) -> None:
+    def forget_versions(self, engine: BackendState) -> None:
         """Discard the versions of an engine that has left or restarted."""
         for key in [key for key in self.versions if key[0] == engine.incarnation]:
             del self.versions[key]
@@ -140,7 +140,7 @@
         for state in candidates:
             if state is exclude or state.avoided(now) or not self.usable(job, state):
                 continue
-            cost = self.load(state.incarnation) / max(1, state.backend.slots)
+            cost = self.slots_in_use(state.incarnation) / max(1, state.backend.slots)
             cost -= GROUP_BONUS if state is home else 0.0
             cost += SLOWDOWN_COST * length * (self._speeds.slowdown(state.incarnation) - 1.0)
             if job.model and self._version(state, job.model) <= job.minimum_version:
@@ -172,7 +172,7 @@
             free.add(engine.incarnation, engine)
 
     def _has_slot(self, engine: BackendState) -> bool:
-        return self.load(engine.incarnation) < max(1, engine.backend.slots)
+        return self.slots_in_use(engine.incarnation) < max(1, engine.backend.slots)
 
     def usable(self, job: BatchJob, engine: BackendState) -> bool:
         """Return whether an engine has a weight version that a job accepts and is not loading."""
--- a/src/runkeel/jobs/run_mover.py
+++ b/src/runkeel/jobs/run_mover.py
@@ -141,7 +141,7 @@
             events=task.run.events,
         )
         # Reserve the slot now so that other items do not choose it.
-        self._placement.take(other)
+        self._placement.acquire_slot(other)
         task.reserved_engine = other
         task.run.abort_for_move()
 
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -378,7 +378,7 @@
         task.engine = engine
         task.started = False
         if engine is not None:
-            self._placement.take(engine)
+            self._placement.acquire_slot(engine)
             self._placement.record_group(task.state.job, task.item, engine)
         self._running.add(task)
         task.greenlet = gevent.spawn(self._run_item, task, route)
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -110,7 +110,7 @@
     """Return a scheduler whose items wait while no engine has room."""
     for state in directory.all():
         for _ in range(_SLOTS):
-            placement.take(state)
+            placement.acquire_slot(state)
     routing = RoutingTable()
     share = ServiceShare(_SERVICE, 1.0)
     route = Route("r", "host", "/", RouteKind.BATCH, (share,), maximum_queue_seconds=3600.0, rank=1)
--- a/tests/jobs/test_engine_placement.py
+++ b/tests/jobs/test_engine_placement.py
@@ -35,13 +35,13 @@
     def test_engine_with_the_fewest_used_slots_is_chosen(self):
         first = self._engine("a")
         self._engine("b")
-        self.placement.take(first)
+        self.placement.acquire_slot(first)
         self.assertEqual(self._choose(), "b")
 
     def test_full_engines_are_not_chosen(self):
         engine = self._engine("a")
-        self.placement.take(engine)
-        self.placement.take(engine)
+        self.placement.acquire_slot(engine)
+        self.placement.acquire_slot(engine)
         self.assertIsNone(self._choose())
         self.placement.release(engine)
         self.assertEqual(self._choose(), "a")
@@ -61,7 +61,7 @@
 
     def test_items_of_a_group_share_an_engine(self):
         engines = [self._engine(name, slots=8) for name in ("a", "b", "c")]
-        self.placement.take(engines[2])
+        self.placement.acquire_slot(engines[2])
         self.placement.record_group(self.job, self.job.items[0], engines[2])
         self.assertEqual(self._choose(1), "c")
         self.assertNotEqual(self._choose(2), "c")
@@ -78,7 +78,7 @@
     def test_the_only_engine_with_a_free_slot_among_many_is_found(self):
         engines = [self._engine(f"e{number}", slots=1) for number in range(10 * MAX_CANDIDATES)]
         for engine in engines:
-            self.placement.take(engine)
+            self.placement.acquire_slot(engine)
         self.assertIsNone(self._choose())
         self.placement.release(engines[7])
         self.assertEqual(self._choose(), "e7")
@@ -90,7 +90,7 @@
 
     def test_engine_that_joins_or_leaves_takes_effect_at_once(self):
         first = self._engine("a", slots=1)
-        self.placement.take(first)
+        self.placement.acquire_slot(first)
         self.assertIsNone(self._choose())
         self._engine("b", slots=1)
         self.assertEqual(self._choose(), "b")
@@ -114,8 +114,8 @@
     def test_long_items_avoid_slower_engines_more_than_short_ones(self):
         fast, slow = self._engine("fast", slots=8), self._engine("slow", slots=8)
         self._observe_speeds(fast=40, slow=30)
-        self.placement.take(fast)
-        self.placement.take(fast)
+        self.placement.acquire_slot(fast)
+        self.placement.acquire_slot(fast)
         item = self.job.items[0]
         choose = self.placement.choose
         self.assertIs(choose(self.job, item, SERVICE, relative_length=0.2), slow)
@@ -123,7 +123,7 @@
 
     def test_long_items_avoid_engines_that_load_next(self):
         old, new = self._engine("old", version=1, slots=8), self._engine("new", 2, slots=8)
-        self.placement.take(new)
+        self.placement.acquire_slot(new)
         item = self.job.items[0]
         choose = self.placement.choose
         self.assertIs(choose(self.job, item, SERVICE, relative_length=0.5), old)
@@ -131,7 +131,7 @@
 
     def test_excluded_engine_is_not_chosen(self):
         first, second = self._engine("a"), self._engine("b")
-        self.placement.take(second)
+        self.placement.acquire_slot(second)
         item = self.job.items[0]
         self.assertIs(self.placement.choose(self.job, item, SERVICE, exclude=first), second)
 
--- a/tests/jobs/test_run_mover.py
+++ b/tests/jobs/test_run_mover.py
@@ -71,7 +71,7 @@
         item = replace(self.state.job.items[0], guessed_tokens=guessed_tokens)
         task = ItemTask(self.state, item, engine=self.engines[engine], run=Run(events))
         task.partial.pieces.extend("x" * events)
-        self.placement.take(self.engines[engine])
+        self.placement.acquire_slot(self.engines[engine])
         return task
 
     def test_long_item_is_moved_from_a_slower_engine_and_a_short_one_is_not(self):
@@ -85,7 +85,7 @@
     def test_the_longest_items_get_the_free_slots(self):
         self._learn_speeds(fast=40, slow=30)
         for _ in range(SLOTS - 1):
-            self.placement.take(self.engines["fast"])
+            self.placement.acquire_slot(self.engines["fast"])
         longer, long = self._running("slow", 15_000), self._running("slow", 10_000)
         self.mover.move_from_slow_engines([long, longer])
         self.assertEqual([longer.run.moved, long.run.moved], [True, False])
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -208,24 +208,24 @@
         self.routing.apply(make_configuration())
         self.scheduler.add(self.state)
         self.scheduler._place_all()
-        self.assertEqual(self.placement.load("e"), len(self.state.items))
+        self.assertEqual(self.placement.slots_in_use("e"), len(self.state.items))
         self.state.end()
         self.scheduler.drop(self.state)
         gevent.sleep(0.05)
-        self.assertEqual(self.placement.load("e"), 0)
+        self.assertEqual(self.placement.slots_in_use("e"), 0)
         self.assertEqual(list(self.scheduler._running), [])
 
     def test_reserved_slot_of_an_ended_job_is_released(self):
         self.routing.apply(make_configuration())
         self.scheduler.add(self.state)
         engine = self.directory.get("e")
-        self.placement.take(engine)
+        self.placement.acquire_slot(engine)
         task = self.scheduler._queue.tasks()[0]
         task.reserved_engine = engine
         self.scheduler._queue.put(task)
         self.state.end()
         self.scheduler._place_all()
-        self.assertEqual(self.placement.load("e"), 0)
+        self.assertEqual(self.placement.slots_in_use("e"), 0)
 
     def test_output_of_an_ended_job_is_resumed_by_the_next_one(self):
         self.scheduler.add(self.state)
@@ -252,7 +252,7 @@
         self.routing.apply(make_configuration())
         self.scheduler.add(JobState(make_job(items=500)))
         self.scheduler._place_all()
-        self.assertEqual(self.placement.load("e"), 8)
+        self.assertEqual(self.placement.slots_in_use("e"), 8)
         choose = mock.Mock(wraps=self.placement.choose)
         with mock.patch.object(self.placement, "choose", choose):
             self.scheduler._place_all()
