--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -208,9 +208,9 @@
         """Query the engines' versions, which only a coordinator tracks, before running items."""
         reported = query_versions(self._directory, self._protocol, self._services())
         self._placement.versions.update(reported)
-        self.jobs.begin_tentatively(copies)
+        self.jobs.resume_from_copies(copies)
         for job_id, encoded in handed_over:
-            self.jobs.handed_over(job_id, encoded)
+            self.jobs.add_handed_over(job_id, encoded)
 
     def start(self) -> None:
         """Start coordinating, or confirm a tentative term."""
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -466,7 +466,7 @@
     def _on_job_handed_over(self, job_id: str, encoded: EncodedJob) -> None:
         """Run a job that the store has not accepted yet, if this node coordinates."""
         if self._term is not None:
-            self._term.jobs.handed_over(job_id, encoded)
+            self._term.jobs.add_handed_over(job_id, encoded)
 
     def _on_coordinator_changed(self) -> None:
         """End runs of earlier coordinators and offer partial outputs to the new one.
--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -144,7 +144,7 @@
         if job_id not in self._jobs and job_id not in self._ended_ids:
             self._spawn(self._fetch, job_id)
 
-    def handed_over(self, job_id: str, encoded: EncodedJob) -> None:
+    def add_handed_over(self, job_id: str, encoded: EncodedJob) -> None:
         """Run an accepted job that is not stored yet; results are listed once it is."""
         if job_id in self._jobs or job_id in self._ended_ids or job_id in self._loading:
             return
@@ -156,7 +156,7 @@
         JOBS.labels("handed_over").inc()
         self._run_unconfirmed(JobState(job, tuple(encoded.parts)))
 
-    def begin_tentatively(self, copies: Iterable[CopiedJob]) -> None:
+    def resume_from_copies(self, copies: Iterable[CopiedJob]) -> None:
         """Run copied jobs of the previous coordinator while the store is unavailable.
 
         Their results are listed once :meth:`start` has found the jobs in the store.
--- a/tests/jobs/test_coordinator.py
+++ b/tests/jobs/test_coordinator.py
@@ -166,7 +166,7 @@
             self.store, ConfirmingScheduler(), 2, lambda model: 1, self.superseded.append
         )
         self.addCleanup(coordinator.stop)
-        coordinator.handed_over(JOB_ID, encode_job(make_job(), "part"))
+        coordinator.add_handed_over(JOB_ID, encode_job(make_job(), "part"))
         state = coordinator.job(JOB_ID)
         self.assertEqual((len(state.results), state.listing_known), (0, False))
         coordinator.start()
