--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -277,7 +277,7 @@
             self.quarantine,
             lambda: self._election.known_epoch,
             self._on_runner_invitation,
-            self._output_copies.hold,
+            self._output_copies.keep_local,
             self._loop_lag_monitor.max_lag_seconds,
         )
         self._network.on_call(MessageType.ITEM_RUN_PROGRESS, ItemRunProgress, self._handle_progress)
--- a/src/runkeel/jobs/partial_output_replication.py
+++ b/src/runkeel/jobs/partial_output_replication.py
@@ -242,7 +242,7 @@
         """Set the handler of updates handed to this coordinator; it returns the wanted items."""
         self._handover_handler = handler
 
-    def hold(self, epoch: int, item_id: str, output: PartialOutput) -> None:
+    def keep_local(self, epoch: int, item_id: str, output: PartialOutput) -> None:
         """Keep an output that this node has read itself, for the coordinator of a later term."""
         if epoch < self._epoch:
             return
--- a/tests/jobs/test_partial_output_replication.py
+++ b/tests/jobs/test_partial_output_replication.py
@@ -171,9 +171,9 @@
         self.assertEqual(len(self.copies.take()), 4)
 
     def test_output_read_by_the_node_itself_is_kept_for_a_later_term(self):
-        self.copies.hold(3, "i", make_output("x", "y"))
-        self.copies.hold(3, "i", make_output("x"))
-        self.copies.hold(2, "j", make_output("z"))
+        self.copies.keep_local(3, "i", make_output("x", "y"))
+        self.copies.keep_local(3, "i", make_output("x"))
+        self.copies.keep_local(2, "j", make_output("z"))
         self.assertEqual(self.copies.epoch, 3)
         taken = self.copies.take()
         self.assertEqual({name: output.pieces for name, output in taken.items()}, {"i": ["x", "y"]})
