--- a/src/runkeel/coordination/feed_follower.py
+++ b/src/runkeel/coordination/feed_follower.py
@@ -67,7 +67,7 @@
 _STATE_NAMES = {FeedState.STALE: STALE, FeedState.NOT_COORDINATOR: "not_coordinator"}
 
 
-def wait_seconds(propagation_seconds: float) -> float:
+def max_hold_seconds(propagation_seconds: float) -> float:
     """Return how long a reply may be held, in seconds.
 
     Args:
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -28,7 +28,7 @@
     max_copy_age_seconds,
 )
 from runkeel.coordination.election import Candidate, Election
-from runkeel.coordination.feed_follower import FeedFollower, grace_seconds, wait_seconds
+from runkeel.coordination.feed_follower import FeedFollower, grace_seconds, max_hold_seconds
 from runkeel.coordination.order_lease import OrderLease
 from runkeel.coordinator_term import CoordinatorTerm, TermDependencies, UsageDependencies
 from runkeel.gateway.backends import BackendDirectory, BackendState
@@ -190,7 +190,7 @@
             self._network,
             SHARD,
             lambda: self._election.other_coordinator,
-            wait_seconds(settings.max_propagation_seconds),
+            max_hold_seconds(settings.max_propagation_seconds),
             grace_seconds(
                 settings.max_propagation_seconds,
                 max_copy_age_seconds(settings.max_propagation_seconds),
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -169,7 +169,7 @@
         """The age of the copy plus the grace period must stay below the propagation time."""
         propagation = 4.0
         fresh = document_feed.max_copy_age_seconds(propagation)
-        held = feed_follower.wait_seconds(propagation) + feed_follower.ANSWER_TIMEOUT_SECONDS
+        held = feed_follower.max_hold_seconds(propagation) + feed_follower.ANSWER_TIMEOUT_SECONDS
         grace = feed_follower.grace_seconds(propagation, fresh)
         self.assertGreater(grace, 1.0)
         self.assertLess(max(fresh, held) + grace + feed_follower.RETRY_SECONDS, propagation - 0.9)
