--- a/src/runkeel/coordination/document_feed.py
+++ b/src/runkeel/coordination/document_feed.py
@@ -60,7 +60,7 @@
         self.watcher = watcher
         self._changed_revisions: dict[str, int] = {}
 
-    def note(self, document: Document, removed: bool) -> None:
+    def record_change(self, document: Document, removed: bool) -> None:
         """Record a change that the watcher has just applied."""
         if removed:
             self._changed_revisions.pop(document.name, None)
@@ -112,15 +112,15 @@
         # A document that expired in an outage and came back is no change in a copy that kept it
         # meanwhile, but nodes that read the store themselves may have dropped it.
         for watcher in watchers:
-            watcher.on_reappearance(lambda document: self.note(document, removed=False))
+            watcher.on_reappearance(lambda document: self.record_change(document, removed=False))
         self._coordinating_since = coordinating_since
         self._max_copy_age = max_copy_age
         self._changed = Event()
         network.on_call(MessageType.FEED_READ, FeedRead, self._on_read)
 
-    def note(self, document: Document, removed: bool) -> None:
+    def record_change(self, document: Document, removed: bool) -> None:
         """Record a change that is significant to other nodes; called by the watchers' listeners."""
-        self._kinds[document.kind].note(document, removed)
+        self._kinds[document.kind].record_change(document, removed)
         self.wake()
 
     def wake(self) -> None:
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -237,8 +237,8 @@
             max_copy_age_seconds(settings.max_propagation_seconds),
             lambda: self._election.known_successor,
         )
-        self._routing_watcher.on_change(self._feed.note)
-        self._election.watcher.on_change(self._feed.note)
+        self._routing_watcher.on_change(self._feed.record_change)
+        self._election.watcher.on_change(self._feed.record_change)
         folder = settings.data_folder
         tolerance = settings.loss_tolerance
         quorum = StorageQuorum(tolerance, settings.zone_regions) if tolerance else None
@@ -431,7 +431,7 @@
     def _on_backend_changed(self, document: Document, removed: bool) -> None:
         if removed:
             self.directory.remove(document.name)
-            self._feed.note(document, removed)
+            self._feed.record_change(document, removed)
             return
         backend = self._translator.backend(document)
         previous = self._known_backend(document.name)
@@ -442,7 +442,7 @@
             self._quarantine.backend_joined(current)
         # Weight versions change often and only the coordinator uses them, so the feed omits them.
         if previous is None or not previous.same_to_clients(current):
-            self._feed.note(document, removed)
+            self._feed.record_change(document, removed)
 
     def _known_backend(self, backend_id: str) -> Backend | None:
         state = self.directory.get(backend_id)
@@ -451,7 +451,7 @@
     def _on_backend_unreadable(self, document: Document, reason: str) -> None:
         """Send no new requests to the server, and notify the nodes that follow this one."""
         self.directory.mark_unreadable(document.name, reason)
-        self._feed.note(document, removed=False)
+        self._feed.record_change(document, removed=False)
 
     def _on_backend_incarnation_ended(self, state: BackendState) -> None:
         """Drop the state of a server incarnation that is gone or was replaced."""
--- a/tests/coordination/expiry_machine.py
+++ b/tests/coordination/expiry_machine.py
@@ -52,7 +52,7 @@
         if not removed:
             self.states[document.name] = document.content
         if removed or before != document.content:
-            self.feed.note(document, removed)
+            self.feed.record_change(document, removed)
 
     @property
     def names(self):
--- a/tests/coordination/feed_machine.py
+++ b/tests/coordination/feed_machine.py
@@ -51,7 +51,7 @@
         name = document.name
         if removed:
             self.removed_names.add(name)
-            self.feed.note(document, removed)
+            self.feed.record_change(document, removed)
             return
         assert name not in self.removed_names, f"{name} came back"
         assert document.revision >= self.highest.get(name, 0), f"{name} went back"
@@ -59,7 +59,7 @@
         state = document.content["state"]
         if self.states.get(name) != state:
             self.states[name] = state
-            self.feed.note(document, removed)
+            self.feed.record_change(document, removed)
 
 
 class FeedMachine(RuleBasedStateMachine):
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -61,7 +61,7 @@
 
     def _changed(self, document, removed):
         if document.content not in self.insignificant:
-            self.feed.note(document, removed)
+            self.feed.record_change(document, removed)
 
     def start(self):
         self.watcher.start()
@@ -378,7 +378,7 @@
         if not removed:
             states[document.name] = document.content
         if removed or before != document.content:
-            self.feed.note(document, removed)
+            self.feed.record_change(document, removed)
 
     def see_outage(self):
         """Make this node see the end of a store outage now."""
