--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -87,7 +87,7 @@
 The preferred nodes elect a coordinator meanwhile, which saves the others futile store calls.
 """
 
-LAPSE_SECONDS = 2.0
+EXPIRED_BACKEND_GRACE_SECONDS = 2.0
 """How long back ends whose entries expired during a store outage are kept after its end.
 
 Servers that are still alive write their entries again within this time.
@@ -223,7 +223,7 @@
             self._backend_batching_seconds,
             self._watch_seconds,
             self._follower.store_needed,
-            LAPSE_SECONDS,
+            EXPIRED_BACKEND_GRACE_SECONDS,
             lambda: store.recovered_at,
             first_list=Freshness.ANY_AGE,
         )
--- a/tests/users_platform/test_lapsed_servers.py
+++ b/tests/users_platform/test_lapsed_servers.py
@@ -19,7 +19,7 @@
 
 import gevent
 
-from runkeel.fleet_node import LAPSE_SECONDS
+from runkeel.fleet_node import EXPIRED_BACKEND_GRACE_SECONDS
 from runkeel.state.observed_store import MIN_OUTAGE_SECONDS
 from runkeel_lab.users_platform.deployment import APPLICATION, COUNT_PREFIX
 from tests.users_platform.deployment_case import DeploymentTestCase
@@ -75,7 +75,7 @@
         self.wait(lambda: self.node.follows_feed)
         for server in self.servers():
             server.report_state()
-        gevent.sleep(LAPSE_SECONDS + MARGIN_SECONDS)
+        gevent.sleep(EXPIRED_BACKEND_GRACE_SECONDS + MARGIN_SECONDS)
 
     def test_node_that_saw_the_lapse_itself_serves_again(self):
         self.lose_store(MIN_OUTAGE_SECONDS + MARGIN_SECONDS)
