--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -116,7 +116,7 @@
             RunkeelError: with verdict NOT_RUN only if no server ran the request.
         """
         watched = self._quarantine.watch(
-            lambda: self._quarantine.fingerprints.of_plain(request), service, request.request_id
+            lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
         )
         progress = _Progress(request, watched, route, service, deadline, steady_seconds())
         disconnect_watcher = (
@@ -279,7 +279,7 @@
         if response_classes[-1] is ResponseClass.SUCCESS:
             progress.watched.succeeded()
         elif response_classes[-1] is ResponseClass.MISDIRECTED:
-            self._quarantine.ends.address_taken(state)
+            self._quarantine.crash_detector.address_taken(state)
         return _Outcome(state, response_class=response_classes[-1], response=response)
 
     def _abandoned_error(self, progress: _Progress, code: ErrorCode) -> RunkeelError:
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -90,7 +90,7 @@
             RunkeelError: with verdict NOT_RUN only if no server ran the request.
         """
         watched = self._quarantine.watch(
-            lambda: self._quarantine.fingerprints.of_plain(request), service, request.request_id
+            lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
         )
         relay = _Relay(request, watched, route, service, deadline, gone)
         relay.last_event_id = request.resume_after
@@ -193,7 +193,7 @@
         if response_class in (ResponseClass.REFUSED, ResponseClass.MISDIRECTED):
             state.refused()
             if response_class is ResponseClass.MISDIRECTED:
-                self._quarantine.ends.address_taken(state)
+                self._quarantine.crash_detector.address_taken(state)
             return OpenedStream(0, [], b"")
         relay.sent += 1
         if response_class is ResponseClass.FOREIGN:
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -87,9 +87,9 @@
     def _watched(self, task: ItemTask, service: str) -> WatchedRequest:
         if task.watched is None:
             job, item = task.state.job, task.item
-            fingerprints = self._quarantine.fingerprints
+            fingerprinter = self._quarantine.fingerprinter
             task.watched = self._quarantine.watch(
-                lambda: fingerprints.of_item(
+                lambda: fingerprinter.of_item(
                     job.tenant, job.host, item.path, base64.b64decode(item.body)
                 ),
                 service,
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -64,9 +64,9 @@
     """
 
     def __init__(self, secret: bytes, ask_trial: TrialAsker) -> None:
-        self.fingerprints = Fingerprinter(secret)
+        self.fingerprinter = Fingerprinter(secret)
         self.ledger = CrashLedger()
-        self.ends = CrashDetector(self._on_server_crashed)
+        self.crash_detector = CrashDetector(self._on_server_crashed)
         self._ask_trial = ask_trial
         self._denials: dict[str, _Denial] = {}
         self.ledger.on_change(self._on_record_changed)
@@ -226,7 +226,7 @@
         lost = LostConnection(
             self._request_id, self.fingerprint, self._service, state, steady_seconds()
         )
-        self._quarantine.ends.judge(lost, probe=not no_response)
+        self._quarantine.crash_detector.judge(lost, probe=not no_response)
 
     def succeeded(self) -> None:
         """Record a complete response, which clears the request."""
--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -116,14 +116,14 @@
 
     def backend_joined(self, backend: Backend) -> None:
         """Handle a server that has joined."""
-        self.quarantine.ends.backend_joined(backend)
+        self.quarantine.crash_detector.backend_joined(backend)
 
     def backend_left(self, state: BackendState) -> None:
         """Handle a server that was removed or has restarted under its id."""
         if state.replaced:
-            self.quarantine.ends.backend_restarted(state)
+            self.quarantine.crash_detector.backend_restarted(state)
         else:
-            self.quarantine.ends.backend_gone(state)
+            self.quarantine.crash_detector.backend_gone(state)
 
     def _mark_crashed_servers(
         self, record: CrashRecord, before: CrashRecord | None, source: str
--- a/src/runkeel/runners/hosted_run.py
+++ b/src/runkeel/runners/hosted_run.py
@@ -44,7 +44,7 @@
         self._output = PartialOutput([], message.resume_after or None, list(message.versions))
         request = _request(message)
         self._quarantine_watch = quarantine.watch(
-            lambda: quarantine.fingerprints.of_generation(request),
+            lambda: quarantine.fingerprinter.of_generation(request),
             state.backend.service,
             request.request_id,
         )
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -93,7 +93,7 @@
     request = PlainRequest("r", "POST", "/count/x", "host", (), _BODY, tenant="tenant")
 
     def look() -> None:
-        identify = partial(quarantine.fingerprints.of_plain, request)
+        identify = partial(quarantine.fingerprinter.of_plain, request)
         _ = quarantine.watch(identify, _SERVICE, request.request_id).held
 
     costs = []
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -65,7 +65,7 @@
         return caught.exception
 
     def hold(self):
-        fingerprint = self.quarantine.fingerprints.of_plain(REQUEST)
+        fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
         for name in ("x", "y", "z"):
             self.ledger.note_ended(fingerprint, SERVICE, name)
         return fingerprint
@@ -140,7 +140,7 @@
         self.assertEqual(self.ledger.get(fingerprint).trials_used, 0)
 
     def test_suspected_request_is_not_hedged(self):
-        fingerprint = self.quarantine.fingerprints.of_plain(REQUEST)
+        fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
         self.ledger.note_ended(fingerprint, SERVICE, "x")
         pools = {name: ScriptedPool(after(0.1, 200)) for name in ("a", "b")}
         self.forward(make_route(target=0.02), pools)
@@ -154,7 +154,7 @@
     def test_unresponsive_server_that_disappears_has_crashed(self):
         self.failure(make_route(attempts=1), {"a": ScriptedPool(unresponsive)})
         self.assertEqual(len(self.ledger), 0)
-        self.quarantine.ends.backend_gone(self.directory.get("a"))
+        self.quarantine.crash_detector.backend_gone(self.directory.get("a"))
         self.assertEqual(len(self.ledger), 1)
 
     def test_server_that_disappears_after_a_client_disconnect_has_crashed(self):
@@ -164,7 +164,7 @@
         with self.assertRaises(RunkeelError):
             self.forward(make_route(attempts=1), {"a": ScriptedPool(unresponsive)}, gone=gone)
         gevent.sleep(0)
-        self.quarantine.ends.backend_gone(self.directory.get("a"))
+        self.quarantine.crash_detector.backend_gone(self.directory.get("a"))
         self.assertEqual(len(self.ledger), 1)
 
     def test_server_restarted_under_the_same_id_has_crashed(self):
@@ -173,7 +173,7 @@
         before = self.directory.get("a")
         self.assertEqual(len(self.ledger), 0)
         before.pool.abort = lambda: None
-        self.directory.on_incarnation_end(self.quarantine.ends.backend_restarted)
+        self.directory.on_incarnation_end(self.quarantine.crash_detector.backend_restarted)
         self.directory.put(replace(before.backend, start="2000"), 2)
         (record,) = self.ledger.records()
         self.assertEqual(record.ended, {"a"})
@@ -182,27 +182,27 @@
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
         state = self.directory.get("a")
         state.backend = replace(state.backend, draining=True)
-        self.quarantine.ends.backend_restarted(state)
+        self.quarantine.crash_detector.backend_restarted(state)
         self.assertEqual(len(self.ledger), 0)
 
     def test_connection_lost_after_the_restart_is_known(self):
         """The update of the directory may arrive before the connection closes."""
-        fingerprint = self.quarantine.fingerprints.of_plain(REQUEST)
+        fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
         self.failure(make_route(attempts=1), {"a": ScriptedPool(unresponsive)})
         state = self.directory.get("a")
         state.replaced = True
-        self.quarantine.ends.judge(
+        self.quarantine.crash_detector.judge(
             LostConnection("r", fingerprint, SERVICE, state, steady_seconds())
         )
         self.assertEqual(len(self.ledger), 1)
 
     def test_three_incarnations_of_one_id_count_as_three_servers(self):
-        fingerprint = self.quarantine.fingerprints.of_plain(REQUEST)
+        fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
         for start in ("1000", "2000", "3000"):
             backend = Backend("a", SERVICE, Address("127.0.0.1", 1), "here", start=start)
             state = BackendState(backend)
             state.replaced = True
-            self.quarantine.ends.judge(
+            self.quarantine.crash_detector.judge(
                 LostConnection("r", fingerprint, SERVICE, state, steady_seconds())
             )
         self.assertTrue(self.ledger.get(fingerprint).held)
@@ -211,7 +211,7 @@
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
         state = self.directory.get("a")
         state.succeeded()
-        self.quarantine.ends.backend_gone(state)
+        self.quarantine.crash_detector.backend_gone(state)
         self.assertEqual(len(self.ledger), 0)
 
 
@@ -224,7 +224,7 @@
         self.forward(make_route(target=0.02), pools)
         gevent.sleep(0)
         for state in self.directory.all():
-            self.quarantine.ends.backend_gone(state)
+            self.quarantine.crash_detector.backend_gone(state)
         self.assertEqual(len(self.ledger), 0)
 
 
