--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -88,7 +88,7 @@
         """Whether it has been replaced, or was recently found to have ended."""
         return self.replaced or steady_seconds() < self._ended_at + ENDED_RETRY_SECONDS
 
-    def note_ended(self) -> None:
+    def mark_ended(self) -> None:
         """Record that nothing listens at its address any more."""
         self._ended_at = steady_seconds()
 
--- a/src/runkeel/quarantine/crash_ledger.py
+++ b/src/runkeel/quarantine/crash_ledger.py
@@ -72,7 +72,7 @@
             self.get(fingerprint)
         return list(self._records.values())
 
-    def note_ended(self, fingerprint: str, service: str, incarnation: str) -> CrashRecord:
+    def record_crash(self, fingerprint: str, service: str, incarnation: str) -> CrashRecord:
         """Record that a server crashed while it ran a request."""
         known = self.get(fingerprint) or CrashRecord(fingerprint, service)
         ended = CrashRecord(
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -114,7 +114,7 @@
 
     def _on_server_crashed(self, lost: LostConnection, evidence: CrashEvidence) -> None:
         SERVERS_ENDED.labels(lost.service, str(evidence)).inc()
-        record = self.ledger.note_ended(lost.fingerprint, lost.service, lost.state.incarnation)
+        record = self.ledger.record_crash(lost.fingerprint, lost.service, lost.state.incarnation)
         logger.warning(
             "server crashed while running a request",
             code="server_ended",
--- a/src/runkeel/quarantine/server_ends.py
+++ b/src/runkeel/quarantine/server_ends.py
@@ -84,7 +84,7 @@
             return
         reached = lost.state.pool.probe(PROBE_TIMEOUT_SECONDS) if probe else Reachability.UNKNOWN
         if reached is Reachability.REFUSED:
-            lost.state.note_ended()
+            lost.state.mark_ended()
             self._on_crash(lost, CrashEvidence.REFUSED)
             return
         logger.info(
--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -133,7 +133,7 @@
         for incarnation in record.ended - known:
             state = self._directory.find(incarnation)
             if state is not None:
-                state.note_ended()
+                state.mark_ended()
 
     def _catch_up(self) -> None:
         """Query the store and the coordinator concurrently until one of them has responded."""
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -99,7 +99,7 @@
     costs = []
     for records in (0, 1, MAX_RECORDS):
         for number in range(records):
-            quarantine.ledger.note_ended(f"{number:032x}", _SERVICE, "server")
+            quarantine.ledger.record_crash(f"{number:032x}", _SERVICE, "server")
         costs.append(_cost("look at the quarantine", records, 0, look))
     return costs
 
--- a/tests/gateway/starts_machine.py
+++ b/tests/gateway/starts_machine.py
@@ -66,7 +66,7 @@
     def refused_connection(self):
         state = self.directory.get(NAME)
         if state is not None:
-            state.note_ended()
+            state.mark_ended()
             self.ended = True
 
     @rule(reason=st.sampled_from(["Slots: missing"]))
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -67,7 +67,7 @@
     def hold(self):
         fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
         for name in ("x", "y", "z"):
-            self.ledger.note_ended(fingerprint, SERVICE, name)
+            self.ledger.record_crash(fingerprint, SERVICE, name)
         return fingerprint
 
     def requests(self, pools):
@@ -101,7 +101,7 @@
     def test_coordinator_is_asked_again_after_another_crash(self):
         fingerprint = self.hold()
         self.failure(make_route(), {"a": ScriptedPool(200)})
-        self.ledger.note_ended(fingerprint, SERVICE, "w")
+        self.ledger.record_crash(fingerprint, SERVICE, "w")
         self.failure(make_route(), {"a": ScriptedPool(200)})
         self.assertEqual(self.trial_requests, 2)
 
@@ -141,7 +141,7 @@
 
     def test_suspected_request_is_not_hedged(self):
         fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
-        self.ledger.note_ended(fingerprint, SERVICE, "x")
+        self.ledger.record_crash(fingerprint, SERVICE, "x")
         pools = {name: ScriptedPool(after(0.1, 200)) for name in ("a", "b")}
         self.forward(make_route(target=0.02), pools)
         self.assertEqual(self.requests(pools), 1)
--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_return_time.py
@@ -57,7 +57,7 @@
 
     def test_no_server_or_only_ended_servers(self):
         for state in self.servers:
-            state.note_ended()
+            state.mark_ended()
         for wait in [*self.estimates(), *self.estimates(servers=[])]:
             self.assertTrue(RESTART_SECONDS <= wait <= RESTART_SECONDS * (1 + JITTER_FRACTION))
 
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -42,7 +42,7 @@
         """Guards against a restarted server that is avoided forever."""
         self.put(started("1000"))
         old_state = self.state()
-        old_state.note_ended()
+        old_state.mark_ended()
         for _ in range(50):
             old_state.failed()
         self.put(started("2000"))
@@ -157,7 +157,7 @@
     def test_ended_server_is_retried_after_a_while(self):
         """Guards against a server that restarts without reporting it and never gets work."""
         self.put(started())
-        self.state().note_ended()
+        self.state().mark_ended()
         self.assertTrue(self.state().avoided(steady_seconds()))
         with mock.patch.object(backends, "ENDED_RETRY_SECONDS", 0.0):
             self.assertFalse(self.state().avoided(steady_seconds()))
--- a/tests/quarantine/test_crash_ledger.py
+++ b/tests/quarantine/test_crash_ledger.py
@@ -20,7 +20,7 @@
 
     def crash_servers(self, fingerprint, *servers):
         for server in servers:
-            self.ledger.note_ended(fingerprint, "ledger", server)
+            self.ledger.record_crash(fingerprint, "ledger", server)
 
     def test_request_is_quarantined_at_the_third_crashed_server(self):
         self.crash_servers("f", "a", "b")
@@ -93,7 +93,7 @@
         for record in reversed(self.ledger.records()):
             other.merge_record(record, "")
         self.assertEqual(other.digest, self.ledger.digest)
-        other.note_ended("g", "ledger", "b")
+        other.record_crash("g", "ledger", "b")
         self.assertNotEqual(other.digest, self.ledger.digest)
 
 
--- a/tests/quarantine/test_gossip.py
+++ b/tests/quarantine/test_gossip.py
@@ -34,7 +34,7 @@
 
     def crash_servers(self, name, *servers, fingerprint="f"):
         for server in servers:
-            self.ledgers[name].note_ended(fingerprint, "ledger", server)
+            self.ledgers[name].record_crash(fingerprint, "ledger", server)
 
     def ended(self, name):
         record = self.ledgers[name].get("f")
--- a/tests/quarantine/test_trials.py
+++ b/tests/quarantine/test_trials.py
@@ -20,7 +20,7 @@
 
     def quarantine_request(self, fingerprint, service="ledger"):
         for number in range(3):
-            self.ledger.note_ended(fingerprint, service, f"{fingerprint}{number}")
+            self.ledger.record_crash(fingerprint, service, f"{fingerprint}{number}")
         return self.ledger.get(fingerprint)
 
     def ask(self, fingerprint):
@@ -36,7 +36,7 @@
                 self.assertAlmostEqual(denied.retry_after_seconds, 0.1)
                 self.now += 0.1
             self.assertTrue(self.ask("f").granted)
-            self.ledger.note_ended("f", "ledger", f"trial{number}")
+            self.ledger.record_crash("f", "ledger", f"trial{number}")
         self.now += 10_000.0
         self.assertFalse(self.ask("f").granted)
 
