--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -253,7 +253,7 @@
         except gevent.GreenletExit:
             if not progress.completed:
                 # The request may still crash its server after the attempt was cancelled.
-                progress.watched.lost(state, may_have_run(ErrorCode.CANCELLED))
+                progress.watched.record_failure(state, may_have_run(ErrorCode.CANCELLED))
             raise
         _record_outcome(state, outcome)
         if outcome.response_class is ResponseClass.SUCCESS:
@@ -273,11 +273,11 @@
             outgoing = self._protocol.encode_plain(request, state.backend, remaining)
             response = state.pool.request(outgoing, progress.deadline, accept=accept)
         except RunkeelError as error:
-            progress.watched.lost(state, error)
+            progress.watched.record_failure(state, error)
             return _Outcome(state, error=error)
-        progress.watched.note_reached()
+        progress.watched.record_delivery()
         if response_classes[-1] is ResponseClass.SUCCESS:
-            progress.watched.succeeded()
+            progress.watched.record_success()
         elif response_classes[-1] is ResponseClass.MISDIRECTED:
             self._quarantine.crash_detector.address_taken(state)
         return _Outcome(state, response_class=response_classes[-1], response=response)
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -129,7 +129,7 @@
             except RunkeelError as raised:
                 ATTEMPTS.labels(relay.service, str(raised.code)).inc()
                 state.failed()
-                relay.watched.lost(state, raised)
+                relay.watched.record_failure(state, raised)
                 if raised.verdict is Verdict.NOT_RUN:
                     continue
                 relay.sent += 1
@@ -169,7 +169,7 @@
             disconnect_watcher.kill(block=False)
             if stream is None:
                 state.in_flight -= 1
-        relay.watched.note_reached()
+        relay.watched.record_delivery()
         response_class = self._protocol.classify(request.request_id, stream.status, stream.headers)
         ATTEMPTS.labels(relay.service, response_class.value).inc()
         if response_class is ResponseClass.SUCCESS:
@@ -207,7 +207,7 @@
                 error = yield from self._relay_attempt(relay)
                 if error is None:
                     relay.state.succeeded()
-                    relay.watched.succeeded()
+                    relay.watched.record_success()
                     return
                 self._resume(relay, error)
         finally:
@@ -263,7 +263,7 @@
             resumable=relay.route.resumable,
         )
         relay.state.failed()
-        relay.watched.lost(relay.state, error)
+        relay.watched.record_failure(relay.state, error)
         self._close_stream(relay)
         if not relay.route.resumable or relay.gone.is_set():
             raise ResponseAbortedError(error.detail)
--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -138,10 +138,10 @@
             stream = self._state.pool.open_stream(outgoing, first_deadline)
         except RunkeelError as error:
             self.detail = error.detail
-            self._watched.lost(self._state, error)
+            self._watched.record_failure(self._state, error)
             self._watched.return_trial()
             return _outcome_without_answer(error)
-        self._watched.note_reached()
+        self._watched.record_delivery()
         self._stream = stream
         try:
             return self._read(stream, deadline)
@@ -165,7 +165,7 @@
             self.detail = error.detail
             if self._moved:
                 return RunOutcome.MOVED
-            self._watched.lost(self._state, error)
+            self._watched.record_failure(self._state, error)
             return RunOutcome.BROKEN
 
     def _drain_failure(self, stream: HttpResponseStream, answer_class: ResponseClass) -> RunOutcome:
@@ -194,7 +194,7 @@
                     return RunOutcome.OLD_VERSION
         self._partial.complete = True
         self._state.answered_at = steady_seconds()
-        self._watched.succeeded()
+        self._watched.record_success()
         return RunOutcome.COMPLETE
 
     def _next_chunk(self, stream: HttpResponseStream, deadline: float) -> bytes | None:
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -222,7 +222,7 @@
         """Return whether a run is a trial, whose outcome the node that runs it records."""
         on_trial = task.watched is not None and task.watched.on_trial
         if on_trial:
-            task.watched.note_reached()
+            task.watched.record_delivery()
         return on_trial
 
     def _urgency(self, task: ItemTask, route: Route) -> int:
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -215,11 +215,11 @@
         self.on_trial = answer.granted
         return answer
 
-    def lost(self, state: BackendState, error: RunkeelError) -> None:
+    def record_failure(self, state: BackendState, error: RunkeelError) -> None:
         """Record an attempt that got no complete response; may block to probe the server."""
         if error.verdict is Verdict.NOT_RUN:
             return
-        self.note_reached()
+        self.record_delivery()
         no_response = error.code in _NO_RESPONSE_CODES
         if error.code not in _CONNECTION_LOSS_CODES and not no_response:
             return
@@ -228,12 +228,12 @@
         )
         self._quarantine.crash_detector.judge(lost, probe=not no_response)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a complete response, which clears the request."""
         if self.suspected:
             self._quarantine.ledger.clear(self.fingerprint)
 
-    def note_reached(self) -> None:
+    def record_delivery(self) -> None:
         """Record that a server received the request, which uses up a granted trial."""
         self.on_trial = False
 
