--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -226,7 +226,7 @@
         lost = LostConnection(
             self._request_id, self.fingerprint, self._service, state, steady_seconds()
         )
-        self._quarantine.crash_detector.judge(lost, probe=not no_response)
+        self._quarantine.crash_detector.classify(lost, probe=not no_response)
 
     def record_success(self) -> None:
         """Record a complete response, which clears the request."""
--- a/src/runkeel/quarantine/server_ends.py
+++ b/src/runkeel/quarantine/server_ends.py
@@ -69,7 +69,7 @@
         self._on_crash = on_crash
         self._unexplained: deque[LostConnection] = deque(maxlen=MAX_UNEXPLAINED_LOSSES)
 
-    def judge(self, lost: LostConnection, probe: bool = True) -> None:
+    def classify(self, lost: LostConnection, probe: bool = True) -> None:
         """Classify a lost connection; blocks for at most :data:`PROBE_TIMEOUT_SECONDS`.
 
         Args:
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -191,7 +191,7 @@
         self.failure(make_route(attempts=1), {"a": ScriptedPool(unresponsive)})
         state = self.directory.get("a")
         state.replaced = True
-        self.quarantine.crash_detector.judge(
+        self.quarantine.crash_detector.classify(
             LostConnection("r", fingerprint, SERVICE, state, steady_seconds())
         )
         self.assertEqual(len(self.ledger), 1)
@@ -202,7 +202,7 @@
             backend = Backend("a", SERVICE, Address("127.0.0.1", 1), "here", start=start)
             state = BackendState(backend)
             state.replaced = True
-            self.quarantine.crash_detector.judge(
+            self.quarantine.crash_detector.classify(
                 LostConnection("r", fingerprint, SERVICE, state, steady_seconds())
             )
         self.assertTrue(self.ledger.get(fingerprint).held)
