--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -205,7 +205,7 @@
         if progress.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
             return
         candidates = self._directory.candidates(progress.service, progress.tried)
-        if progress.watched.held:
+        if progress.watched.quarantined:
             # Trials are limited; don't use one on a server that has ended.
             candidates = [one for one in candidates if not one.ended]
         state = choose_backend(candidates, progress.tried, self._zone)
@@ -239,7 +239,7 @@
         Raises:
             RunkeelError: REQUEST_QUARANTINED if the request is held and gets no trial.
         """
-        if not progress.watched.held:
+        if not progress.watched.quarantined:
             return True
         if progress.sent:
             return False
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -114,12 +114,12 @@
             if relay.sent >= relay.route.maximum_attempts:
                 break
             candidates = self._directory.candidates(relay.service, relay.tried)
-            if relay.watched.held:
+            if relay.watched.quarantined:
                 candidates = [one for one in candidates if not one.ended]
             state = choose_backend(candidates, relay.tried, self._zone)
             if state is None:
                 break
-            if relay.watched.held:
+            if relay.watched.quarantined:
                 if relay.sent:
                     break
                 relay.watched.admit()
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -76,7 +76,7 @@
         if not len(self._quarantine.ledger):
             return 0.0
         watched = self._watched(task, service)
-        if watched.on_trial or not watched.held:
+        if watched.on_trial or not watched.quarantined:
             return 0.0
         answer = watched.ask_trial()
         if answer.granted:
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -182,7 +182,7 @@
             (
                 record.fingerprint,
                 record.service,
-                "held" if record.held else "suspected",
+                "held" if record.quarantined else "suspected",
                 len(record.ended),
                 ", ".join(sorted(record.ended)),
                 record.trials_used,
--- a/src/runkeel/quarantine/crash_ledger.py
+++ b/src/runkeel/quarantine/crash_ledger.py
@@ -129,7 +129,7 @@
     def _forget(self, fingerprint: str) -> None:
         record = self._records.pop(fingerprint)
         self.digest ^= record.digest
-        if record.held:
+        if record.quarantined:
             logger.warning(
                 "request released from quarantine: its record has expired or was evicted",
                 code="request_forgotten",
@@ -144,11 +144,11 @@
             retention_seconds = CLEARANCE_RETENTION_SECONDS
         else:
             retention_seconds = (
-                QUARANTINE_RETENTION_SECONDS if record.held else SUSPECT_RETENTION_SECONDS
+                QUARANTINE_RETENTION_SECONDS if record.quarantined else SUSPECT_RETENTION_SECONDS
             )
         return self._now() - record.changed_at >= retention_seconds
 
 
 def _retention_priority(record: CrashRecord) -> tuple[bool, int, float]:
     """Return the sort key for eviction; the record with the lowest key is evicted first."""
-    return record.held, len(record.ended), record.changed_at
+    return record.quarantined, len(record.ended), record.changed_at
--- a/src/runkeel/quarantine/crash_record.py
+++ b/src/runkeel/quarantine/crash_record.py
@@ -45,7 +45,7 @@
     changed_at: float = 0.0
 
     @property
-    def held(self) -> bool:
+    def quarantined(self) -> bool:
         """Whether the request is quarantined: only trials are sent to servers."""
         return len(self.ended) >= QUARANTINE_THRESHOLD
 
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -131,11 +131,11 @@
         self, record: CrashRecord, before: CrashRecord | None, source: str
     ) -> None:
         QUARANTINE_RECORDS.set(len(self.ledger))
-        if record.held == (before is not None and before.held):
+        if record.quarantined == (before is not None and before.quarantined):
             return
         logger.warning(
-            "request quarantined" if record.held else "request released from quarantine",
-            code="request_held" if record.held else "request_released",
+            "request quarantined" if record.quarantined else "request released from quarantine",
+            code="request_held" if record.quarantined else "request_released",
             fingerprint=record.fingerprint,
             service=record.service,
             ended=sorted(record.ended),
@@ -181,10 +181,10 @@
         return record is not None and bool(record.ended)
 
     @property
-    def held(self) -> bool:
+    def quarantined(self) -> bool:
         """Whether the request is quarantined."""
         record = self._record()
-        return record is not None and record.held
+        return record is not None and record.quarantined
 
     def admit(self) -> None:
         """Check before the first send that the request may be sent.
@@ -194,7 +194,7 @@
         Raises:
             RunkeelError: REQUEST_QUARANTINED (NOT_RUN) if the request must not be sent.
         """
-        if self.on_trial or not self.held:
+        if self.on_trial or not self.quarantined:
             return
         answer = self.ask_trial(TRIAL_WAIT_SECONDS)
         if not answer.granted:
--- a/src/runkeel/quarantine/trials.py
+++ b/src/runkeel/quarantine/trials.py
@@ -70,7 +70,9 @@
         """
         self._ledger.merge_record(record, source)
         known = self._ledger.get(record.fingerprint)
-        answer = TrialAnswer(True) if known is None or not known.held else self._decide(known)
+        answer = (
+            TrialAnswer(True) if known is None or not known.quarantined else self._decide(known)
+        )
         QUARANTINE_TRIALS.labels("granted" if answer.granted else "denied").inc()
         logger.info(
             "trial of a quarantined request decided",
--- a/src/runkeel/runners/hosted_run.py
+++ b/src/runkeel/runners/hosted_run.py
@@ -69,7 +69,7 @@
     @property
     def blocked_by_quarantine(self) -> bool:
         """Whether the item is quarantined, having ended engines, and this run is no trial."""
-        return self._quarantine_watch.held and not self._quarantine_watch.on_trial
+        return self._quarantine_watch.quarantined and not self._quarantine_watch.on_trial
 
     @property
     def output_from_start(self) -> PartialOutput | None:
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -94,7 +94,7 @@
 
     def look() -> None:
         identify = partial(quarantine.fingerprinter.of_plain, request)
-        _ = quarantine.watch(identify, _SERVICE, request.request_id).held
+        _ = quarantine.watch(identify, _SERVICE, request.request_id).quarantined
 
     costs = []
     for records in (0, 1, MAX_RECORDS):
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -121,7 +121,7 @@
         self.granted = True
         fingerprint = self.hold()
         self.assertEqual(self.forward(make_route(), {"a": ScriptedPool(200)}).status, 200)
-        self.assertFalse(self.ledger.get(fingerprint).held)
+        self.assertFalse(self.ledger.get(fingerprint).quarantined)
 
     def test_trial_refused_by_a_server_is_used_up(self):
         self.granted = True
@@ -205,7 +205,7 @@
             self.quarantine.crash_detector.classify(
                 LostConnection("r", fingerprint, SERVICE, state, steady_seconds())
             )
-        self.assertTrue(self.ledger.get(fingerprint).held)
+        self.assertTrue(self.ledger.get(fingerprint).quarantined)
 
     def test_server_that_responded_since_has_not_crashed(self):
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
--- a/tests/quarantine/test_crash_ledger.py
+++ b/tests/quarantine/test_crash_ledger.py
@@ -24,20 +24,20 @@
 
     def test_request_is_quarantined_at_the_third_crashed_server(self):
         self.crash_servers("f", "a", "b")
-        self.assertFalse(self.ledger.get("f").held)
+        self.assertFalse(self.ledger.get("f").quarantined)
         self.crash_servers("f", "c")
-        self.assertTrue(self.ledger.get("f").held)
+        self.assertTrue(self.ledger.get("f").quarantined)
 
     def test_same_server_counts_once(self):
         self.crash_servers("f", "a", "a", "a", "a")
-        self.assertFalse(self.ledger.get("f").held)
+        self.assertFalse(self.ledger.get("f").quarantined)
 
     def test_success_clears_record_and_outdated_update_does_not_restore_it(self):
         self.crash_servers("f", "a", "b", "c")
         outdated = self.ledger.get("f")
         self.assertTrue(self.ledger.clear("f"))
         self.assertFalse(self.ledger.merge_record(outdated, "other"))
-        self.assertFalse(self.ledger.get("f").held)
+        self.assertFalse(self.ledger.get("f").quarantined)
         self.assertFalse(self.ledger.clear("f"))
         self.assertFalse(self.ledger.clear("unknown"))
 
@@ -45,7 +45,7 @@
         self.crash_servers("f", "a", "b")
         self.ledger.clear("f")
         self.crash_servers("f", "c", "d")
-        self.assertFalse(self.ledger.get("f").held)
+        self.assertFalse(self.ledger.get("f").quarantined)
 
     def test_update_without_new_content_does_not_notify_listeners(self):
         self.crash_servers("f", "a")
@@ -83,7 +83,7 @@
             self.now += 1.0
             self.crash_servers(f"f{number}", "a")
         self.assertEqual(len(self.ledger), 8)
-        self.assertTrue(self.ledger.get("held").held)
+        self.assertTrue(self.ledger.get("held").quarantined)
         self.assertIsNotNone(self.ledger.get("f49"))
 
     def test_ledgers_with_equal_records_have_equal_digests(self):
--- a/tests/quarantine/test_crash_record.py
+++ b/tests/quarantine/test_crash_record.py
@@ -44,8 +44,8 @@
     def test_clearance_replaces_earlier_crashes(self):
         known = CrashRecord("f", "ledger", 0, frozenset("abc"), 2, 0, 1.0)
         cleared = CrashRecord("f", "ledger", 1, changed_at=2.0)
-        self.assertFalse(merge(known, cleared).held)
-        self.assertFalse(merge(cleared, known).held)
+        self.assertFalse(merge(known, cleared).quarantined)
+        self.assertFalse(merge(cleared, known).quarantined)
 
     def test_number_of_listed_servers_is_bounded(self):
         many = frozenset(f"s{n}" for n in range(3 * MAX_CRASHED_SERVERS))
--- a/tests/quarantine/test_gossip.py
+++ b/tests/quarantine/test_gossip.py
@@ -53,7 +53,7 @@
     def test_crashes_observed_by_different_nodes_accumulate(self):
         for name, server in (("a", "s1"), ("b", "s2"), ("c", "s3")):
             self.crash_servers(name, server)
-        self.wait_until(lambda: all(self.ledgers[one].get("f").held for one in "abc"))
+        self.wait_until(lambda: all(self.ledgers[one].get("f").quarantined for one in "abc"))
 
     def test_coordinator_is_notified_directly_of_local_changes(self):
         self.coordinator = "d"
@@ -74,7 +74,7 @@
         self.ledgers["b"] = CrashLedger()
         fresh = self.gossip("b")
         fresh.exchange("c")
-        self.assertTrue(self.ledgers["b"].get("f").held)
+        self.assertTrue(self.ledgers["b"].get("f").quarantined)
 
     def test_ledgers_that_stay_different_are_exchanged(self):
         self.network.cut("a", "b")
