--- a/src/runkeel/coordination/feed_follower.py
+++ b/src/runkeel/coordination/feed_follower.py
@@ -249,7 +249,7 @@
             Document(kind, one.name, one.revision, _content(one)) for one in page.documents
         )
         applied = DocumentPage(kind, page.revision, page.whole, documents, tuple(page.removed))
-        self._watchers[kind].take(applied)
+        self._watchers[kind].merge_page(applied)
 
     def _revisions(self) -> dict[str, int]:
         return {str(kind): watcher.revision for kind, watcher in self._watchers.items()}
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -52,7 +52,7 @@
     """Maintains a copy of all documents of one kind.
 
     A document never reverts to an older revision. The copy is retained while the store is
-    unreachable; pages of another node's copy may update it, see :meth:`take`.
+    unreachable; pages of another node's copy may update it, see :meth:`merge_page`.
 
     Args:
         pause_seconds: returns the pause after a watch with changes, which batches them to limit
@@ -172,7 +172,7 @@
         if self._task is not None:
             self._task.kill(block=False)
 
-    def take(self, page: DocumentPage) -> None:
+    def merge_page(self, page: DocumentPage) -> None:
         """Apply a page of another node's copy, unless this copy is newer."""
         self._take_page(page, self._remove)
 
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -186,22 +186,22 @@
         self.assertEqual(reasons, ["Slots", "State", "State"])
 
     def test_page_of_another_copy_is_applied(self):
-        self.watcher.take(self._page(5, ("a", 3), ("b", 5), whole=True))
+        self.watcher.merge_page(self._page(5, ("a", 3), ("b", 5), whole=True))
         self.assertTrue(self.watcher.listed.is_set())
-        self.watcher.take(self._page(8, ("b", 8), removed=("a",)))
+        self.watcher.merge_page(self._page(8, ("b", 8), removed=("a",)))
         self.assertEqual(self.changes, [("a", False), ("b", False), ("a", True), ("b", False)])
         self.assertEqual(self.watcher.revision, 8)
 
     def test_page_of_an_older_copy_is_ignored(self):
-        self.watcher.take(self._page(8, ("b", 8), whole=True))
-        self.watcher.take(self._page(7, ("a", 3), ("b", 5), whole=True))
+        self.watcher.merge_page(self._page(8, ("b", 8), whole=True))
+        self.watcher.merge_page(self._page(7, ("a", 3), ("b", 5), whole=True))
         self.assertEqual(list(self.watcher.documents), ["b"])
         self.assertEqual(self.watcher.revision, 8)
 
     def test_late_watch_response_does_not_restore_removed_documents(self):
-        self.watcher.take(self._page(5, ("a", 3), whole=True))
+        self.watcher.merge_page(self._page(5, ("a", 3), whole=True))
         late_response = DocumentChanges((DocumentChange(Document(KIND, "a", 4, 1), False),), 4)
-        self.watcher.take(self._page(6, removed=("a",)))
+        self.watcher.merge_page(self._page(6, removed=("a",)))
         self.watcher._take_changes(late_response)
         self.assertEqual(self.watcher.documents, {})
         self.assertEqual(self.watcher.revision, 6)
@@ -298,7 +298,7 @@
 
     def test_page_of_another_copy_removes_retained_documents(self):
         watcher = self._recover_with_missing_documents(10.0, MIN_OUTAGE_SECONDS)
-        watcher.take(self._page(watcher.revision + 1, removed=("a", "b")))
+        watcher.merge_page(self._page(watcher.revision + 1, removed=("a", "b")))
         self.assertEqual(watcher.documents, {})
 
     def test_refresh_cancels_a_hanging_watch(self):
--- a/tests/coordination/expiry_machine.py
+++ b/tests/coordination/expiry_machine.py
@@ -79,7 +79,9 @@
                 for one in page.documents
             )
             removed = tuple(page.removed)
-            self.watcher.take(DocumentPage(KIND, page.revision, page.whole, documents, removed))
+            self.watcher.merge_page(
+                DocumentPage(KIND, page.revision, page.whole, documents, removed)
+            )
         self.comparison.compare(self.watcher, reply.copies[str(KIND)])
 
 
--- a/tests/coordination/feed_machine.py
+++ b/tests/coordination/feed_machine.py
@@ -116,7 +116,7 @@
             return
         reply = self.nodes[other].feed.read({str(KIND): watcher.revision}, 0.0)
         pages = [_page(page) for page in reply.pages]
-        self._deliver(late, lambda: [watcher.take(page) for page in pages])
+        self._deliver(late, lambda: [watcher.merge_page(page) for page in pages])
 
     def _deliver(self, late, delivery):
         if late:
