--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -191,7 +191,7 @@
             DocumentKind.COORDINATOR,
             self._on_document_changed,
             watch_seconds=self._watch_seconds,
-            needed=store_needed,
+            store_needed=store_needed,
             # A preferred node may have to take over at once, so it checks the store more often.
             idle_probe_interval_seconds=PING_INTERVAL_SECONDS
             if self._preferred
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -213,7 +213,7 @@
             DocumentKind.ROUTING,
             self._on_routing_changed,
             watch_seconds=self._watch_seconds,
-            needed=self._follower.store_needed,
+            store_needed=self._follower.store_needed,
             first_list=Freshness.ANY_AGE,
         )
         self._backend_watcher = DocumentWatcher(
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -59,7 +59,7 @@
             the number of calls.
         watch_seconds: returns the time-out of a watch in seconds. A watch whose response was lost
             hangs until then.
-        needed: set while the store must be queried; None if it always must.
+        store_needed: set while the store must be queried; None if it always must.
         idle_probe_interval_seconds: interval at which a failed store is probed while it need not be
             queried.
         expiry_grace_seconds: how long documents that expired during an outage are retained after
@@ -86,7 +86,7 @@
         on_change: ChangeListener,
         pause_seconds: Callable[[], float] = lambda: 0.0,
         watch_seconds: Callable[[], float] = lambda: WATCH_SECONDS,
-        needed: Event | None = None,
+        store_needed: Event | None = None,
         expiry_grace_seconds: float = 0.0,
         recovered_at: Callable[[], float] = lambda: 0.0,
         idle_probe_interval_seconds: float = IDLE_PROBE_INTERVAL_SECONDS,
@@ -97,7 +97,7 @@
         self._store = store
         self._kind = kind
         self._lapsed = ExpiredDocuments(kind, expiry_grace_seconds, recovered_at, self._remove)
-        self._needed = needed
+        self._store_needed = store_needed
         self._listeners = [on_change]
         self._return_listeners: list[Callable[[Document], None]] = []
         self._unreadable_listeners: list[Callable[[Document, str], None]] = []
@@ -196,8 +196,8 @@
 
     def _run(self) -> None:
         while True:
-            if self._needed is not None:
-                self._needed.wait(self._resting_probe_seconds if self._failures else None)
+            if self._store_needed is not None:
+                self._store_needed.wait(self._resting_probe_seconds if self._failures else None)
             try:
                 self._step()
             except HistoryLostError:
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -208,7 +208,7 @@
 
     def test_store_is_not_called_unless_needed(self):
         needed = gevent.event.Event()
-        watcher = DocumentWatcher(self.store, KIND, self._record_change, needed=needed)
+        watcher = DocumentWatcher(self.store, KIND, self._record_change, store_needed=needed)
         self.addCleanup(watcher.stop)
         watcher.start()
         gevent.sleep(0.05)
@@ -222,7 +222,11 @@
         needed = gevent.event.Event()
         needed.set()
         watcher = DocumentWatcher(
-            self.store, KIND, self._record_change, needed=needed, idle_probe_interval_seconds=60.0
+            self.store,
+            KIND,
+            self._record_change,
+            store_needed=needed,
+            idle_probe_interval_seconds=60.0,
         )
         self.addCleanup(watcher.stop)
         self.store.down = True
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -50,7 +50,7 @@
             KIND,
             self._changed,
             watch_seconds=lambda: WATCH_SECONDS,
-            needed=self.follower.store_needed,
+            store_needed=self.follower.store_needed,
             expiry_grace_seconds=retention,
             recovered_at=lambda: self.recovered_at,
         )
