--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -96,7 +96,9 @@
         self._resting_probe_seconds = idle_probe_interval_seconds
         self._store = store
         self._kind = kind
-        self._lapsed = ExpiredDocuments(kind, expiry_grace_seconds, recovered_at, self._remove)
+        self._expired_documents = ExpiredDocuments(
+            kind, expiry_grace_seconds, recovered_at, self._remove
+        )
         self._store_needed = store_needed
         self._listeners = [on_change]
         self._return_listeners: list[Callable[[Document], None]] = []
@@ -182,7 +184,7 @@
         before, self.revision = self.revision, page.revision
         self.contiguous_since = page.revision
         self.removals.clear()
-        self._lapsed.take_expired()
+        self._expired_documents.take_expired()
         if page.whole:
             self._list_due = False
         present = {document.name for document in page.documents}
@@ -250,11 +252,11 @@
 
     def _retain_expired(self, name: str) -> bool:
         """Retain a document missing from the store; returns False if it must be removed."""
-        return name in self.documents and self._lapsed.retain(name)
+        return name in self.documents and self._expired_documents.retain(name)
 
     def _record_expired_removals(self) -> None:
         """Record removals of expired documents, at a revision that other nodes don't have yet."""
-        for name in self._lapsed.take_expired():
+        for name in self._expired_documents.take_expired():
             if name not in self.documents:
                 self._record_removal(name)
 
@@ -281,7 +283,7 @@
         self._take_page(page, self._remove_listed)
 
     def _apply(self, document: Document, removed: bool) -> None:
-        returned = self._lapsed.discard(document.name) and not removed
+        returned = self._expired_documents.discard(document.name) and not removed
         known = self.documents.get(document.name)
         if removed:
             if known is None or document.revision < known.revision:
--- a/tests/coordination/expiry_machine.py
+++ b/tests/coordination/expiry_machine.py
@@ -67,7 +67,7 @@
 
     def drop_expired(self):
         """Drop the expired servers that are still kept."""
-        self.watcher._lapsed._expire(self.watcher._lapsed._ends_at)
+        self.watcher._expired_documents._expire(self.watcher._expired_documents._ends_at)
         self.recovered_at = 0.0
 
     def follow(self, coordinator):
