--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -489,7 +489,7 @@
 
     def _handle_usage(self, peer: str, message: UsageCounts) -> tuple[int, UsageCountsReply]:
         usage = self._term.usage if self._term is not None else None
-        reply = UsageCountsReply(False, 0) if usage is None else usage.take(message)
+        reply = UsageCountsReply(False, 0) if usage is None else usage.merge_counts(message)
         return MessageType.USAGE_COUNTS_REPLY, reply
 
     def _on_directory_changed(self, service: str) -> None:
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -122,14 +122,14 @@
         disconnect_watcher = (
             gevent.spawn(_report_disconnect, gone, progress.results) if gone is not None else None
         )
-        usage_entry = self._meter.open(request.tenant)
+        usage_entry = self._meter.start_request(request.tenant)
         try:
             return self._run_attempts(progress)
         finally:
             if not progress.sent:
                 watched.return_trial()
             first_attempt_at = progress.first_attempt_at if progress.sent else None
-            self._meter.close(usage_entry, request.tenant, first_attempt_at)
+            self._meter.finish_request(usage_entry, request.tenant, first_attempt_at)
             if disconnect_watcher is not None:
                 disconnect_watcher.kill(block=False)
             gevent.killall(progress.tasks, block=False)
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -94,14 +94,14 @@
         )
         relay = _Relay(request, watched, route, service, deadline, gone)
         relay.last_event_id = request.resume_after
-        usage_entry = self._meter.open(request.tenant)
+        usage_entry = self._meter.start_request(request.tenant)
         try:
             failure = self._connect(relay)
         finally:
             if not relay.sent:
                 watched.return_trial()
             started_at = self._meter.now() if relay.sent else None
-            self._meter.close(usage_entry, request.tenant, started_at)
+            self._meter.finish_request(usage_entry, request.tenant, started_at)
         if failure is not None:
             return failure
         return OpenedStream(relay.stream.status, relay.stream.headers, self._relay(relay))
--- a/src/runkeel/usage/duty.py
+++ b/src/runkeel/usage/duty.py
@@ -140,7 +140,7 @@
         for task in self._tasks:
             task.kill(block=False)
 
-    def take(self, message: UsageCounts) -> UsageCountsReply:
+    def merge_counts(self, message: UsageCounts) -> UsageCountsReply:
         """Merge a node's counts."""
         for window in message.windows:
             late = self._ledger.late_requests(window.number, window.counts)
--- a/src/runkeel/usage/meter.py
+++ b/src/runkeel/usage/meter.py
@@ -43,7 +43,7 @@
         """Return the number of the window that contains a time."""
         return int(at // self.window_seconds)
 
-    def open(self, tenant: str) -> int:
+    def start_request(self, tenant: str) -> int:
         """Register a request that may run; returns its number, 0 if it will not be counted."""
         if not tenant or not self.window_seconds:
             return 0
@@ -51,7 +51,7 @@
         self._started_at[number] = self._clock()
         return number
 
-    def close(self, number: int, tenant: str, began_at: float | None) -> None:
+    def finish_request(self, number: int, tenant: str, began_at: float | None) -> None:
         """Count a request if a server received it.
 
         Args:
--- a/tests/usage/test_duty.py
+++ b/tests/usage/test_duty.py
@@ -90,7 +90,7 @@
     def send_counts(self, duty, source, windows, complete=None):
         usage_windows = [UsageWindow(number, counts) for number, counts in windows.items()]
         complete = self.now if complete is None else complete
-        return duty.take(UsageCounts(SHARD, 1, source, usage_windows, int(complete * 1000)))
+        return duty.merge_counts(UsageCounts(SHARD, 1, source, usage_windows, int(complete * 1000)))
 
     def wait_until(self, condition):
         with gevent.Timeout(5.0):
--- a/tests/usage/test_meter.py
+++ b/tests/usage/test_meter.py
@@ -12,7 +12,7 @@
         self.meter = UsageMeter(5.0, lambda: self.now)
 
     def count(self, tenant, at):
-        self.meter.close(self.meter.open(tenant), tenant, at)
+        self.meter.finish_request(self.meter.start_request(tenant), tenant, at)
 
     def test_request_is_counted_in_the_window_it_began_in(self):
         self.count("a", 1_004.9)
@@ -28,14 +28,14 @@
 
     def test_zero_window_length_disables_counting(self):
         meter = UsageMeter(0.0, lambda: self.now)
-        meter.close(meter.open("a"), "a", 1_000.0)
+        meter.finish_request(meter.start_request("a"), "a", 1_000.0)
         self.assertEqual(meter.windows(), {})
 
     def test_counts_are_incomplete_while_a_request_is_in_flight(self):
-        number = self.meter.open("a")
+        number = self.meter.start_request("a")
         self.now = 1_010.0
         self.assertEqual(self.meter.complete_before, 1_000.0)
-        self.meter.close(number, "a", 1_001.0)
+        self.meter.finish_request(number, "a", 1_001.0)
         self.assertEqual(self.meter.complete_before, 1_010.0)
 
     def test_old_windows_are_removed(self):
--- a/tests/usage/usage_machine.py
+++ b/tests/usage/usage_machine.py
@@ -101,7 +101,7 @@
     @rule(number=node_numbers, tenant=strategies.sampled_from(TENANTS))
     def request(self, number, tenant):
         meter = self.nodes[number][1]
-        meter.close(meter.open(tenant), tenant, self.now)
+        meter.finish_request(meter.start_request(tenant), tenant, self.now)
         counts = self.actual_counts.setdefault(meter.window_of(self.now), {})
         counts[tenant] = counts.get(tenant, 0) + 1
 
@@ -118,7 +118,7 @@
         source, meter = self.nodes[number]
         windows = [UsageWindow(one, counts) for one, counts in meter.windows().items()]
         complete = int(meter.complete_before * 1000)
-        self._duty(term).take(UsageCounts(SHARD, 1, source, windows, complete))
+        self._duty(term).merge_counts(UsageCounts(SHARD, 1, source, windows, complete))
 
     @rule(term=terms, fault=faults, lost=strategies.booleans())
     def take_turn(self, term, fault, lost):
