--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -53,7 +53,7 @@
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.state.observed_store import (
     FOLLOWER_PROBE_INTERVAL_SECONDS,
-    PROBE_SECONDS,
+    PROBE_INTERVAL_SECONDS,
     ObservedStore,
 )
 from runkeel.usage.clock import SteadyWallClock
@@ -412,7 +412,7 @@
     def _probe_seconds(self) -> float:
         """Return the interval in seconds between probes of a failing store."""
         waits = self.configured and not self._settings.preferred_coordinator
-        return FOLLOWER_PROBE_INTERVAL_SECONDS if waits else PROBE_SECONDS
+        return FOLLOWER_PROBE_INTERVAL_SECONDS if waits else PROBE_INTERVAL_SECONDS
 
     def _watch_seconds(self) -> float:
         if self.coordinating:
--- a/src/runkeel/state/observed_store.py
+++ b/src/runkeel/state/observed_store.py
@@ -22,7 +22,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 
-PROBE_SECONDS = 0.4
+PROBE_INTERVAL_SECONDS = 0.4
 """Interval between calls to a failing store on a node that may become the coordinator."""
 
 FOLLOWER_PROBE_INTERVAL_SECONDS = 1.5
@@ -65,7 +65,7 @@
     def __init__(
         self,
         store: DocumentStore,
-        probe_interval_seconds: Callable[[], float] = lambda: PROBE_SECONDS,
+        probe_interval_seconds: Callable[[], float] = lambda: PROBE_INTERVAL_SECONDS,
     ) -> None:
         self._store = store
         self._probe_interval_seconds = probe_interval_seconds
