--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -40,7 +40,7 @@
 from runkeel.metrics import COORDINATING
 from runkeel.state.document_watcher import (
     IDLE_PROBE_INTERVAL_SECONDS,
-    WATCH_SECONDS,
+    WATCH_TIMEOUT_SECONDS,
     DocumentWatcher,
 )
 from runkeel.wire.generated.common.ttypes import MessageType
@@ -569,7 +569,7 @@
         return MessageType.COORDINATOR_WITNESS_REPLY, reply
 
     def _watch_seconds(self) -> float:
-        return VERIFY_WATCH_SECONDS if self.coordinating else WATCH_SECONDS
+        return VERIFY_WATCH_SECONDS if self.coordinating else WATCH_TIMEOUT_SECONDS
 
     def _reaches_store(self) -> bool:
         return self._watcher.reachable and self._store_reachable()
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -26,7 +26,7 @@
 from runkeel.state.name_digest import NameDigest
 from runkeel.state.unreadable_documents import UnreadableDocuments
 
-WATCH_SECONDS = 29.0
+WATCH_TIMEOUT_SECONDS = 29.0
 """Default time-out of a watch; below 30 s, after which idle connections are commonly closed."""
 
 INITIAL_RETRY_DELAY_SECONDS = 0.1
@@ -85,7 +85,7 @@
         kind: DocumentKind,
         on_change: ChangeListener,
         pause_seconds: Callable[[], float] = lambda: 0.0,
-        watch_seconds: Callable[[], float] = lambda: WATCH_SECONDS,
+        watch_seconds: Callable[[], float] = lambda: WATCH_TIMEOUT_SECONDS,
         store_needed: Event | None = None,
         expiry_grace_seconds: float = 0.0,
         recovered_at: Callable[[], float] = lambda: 0.0,
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -92,7 +92,7 @@
                 patch = mock.patch.object(module, name, getattr(module, name) * SCALE)
                 patch.start()
                 self.addCleanup(patch.stop)
-        watch = mock.patch.object(document_watcher, "WATCH_SECONDS", 0.1)
+        watch = mock.patch.object(document_watcher, "WATCH_TIMEOUT_SECONDS", 0.1)
         watch.start()
         self.addCleanup(watch.stop)
         self.store = MemoryDocumentStore()
