--- a/src/runkeel/gateway/deferrable_calls.py
+++ b/src/runkeel/gateway/deferrable_calls.py
@@ -114,7 +114,7 @@
         return len(self._waiting.get(service, ()))
 
     @contextmanager
-    def place(self, service: str, deadline: float) -> Iterator[bool]:
+    def slot(self, service: str, deadline: float) -> Iterator[bool]:
         """Hold a slot for one call; yields False if none became free before the deadline.
 
         Args:
--- a/src/runkeel/jobs/scorer.py
+++ b/src/runkeel/jobs/scorer.py
@@ -93,7 +93,7 @@
         """Call once a slot is free; returns the same as :meth:`_call_once`."""
         service = choose_service(route, call.request_id)
         asked_at = steady_seconds()
-        with self._calls.place(service, deadline) as granted:
+        with self._calls.slot(service, deadline) as granted:
             waited = steady_seconds() - asked_at
             if waited >= LOGGED_WAIT_SECONDS or not granted:
                 logger.info(
--- a/tests/gateway/test_deferrable_calls.py
+++ b/tests/gateway/test_deferrable_calls.py
@@ -77,7 +77,7 @@
         self.begun = []
 
     def call(self, name, seconds=0.02):
-        with self.calls.place(SERVICE, steady_seconds() + FAR) as granted:
+        with self.calls.slot(SERVICE, steady_seconds() + FAR) as granted:
             self.begun.append((name, granted))
             self.most = max(getattr(self, "most", 0), self.calls.limit_of(SERVICE).calls_in_flight)
             gevent.sleep(seconds)
@@ -91,7 +91,7 @@
     def test_call_past_its_deadline_does_not_block_others(self):
         blockers = [gevent.spawn(self.call, n, 0.5) for n in range(SERVERS * SLOTS // 2)]
         gevent.sleep(0)
-        with self.calls.place(SERVICE, steady_seconds() + 0.05) as granted:
+        with self.calls.slot(SERVICE, steady_seconds() + 0.05) as granted:
             self.assertFalse(granted)
         after = gevent.spawn(self.call, "after")
         gevent.joinall([*blockers, after])
@@ -110,7 +110,7 @@
     def test_services_have_independent_limits(self):
         blockers = [gevent.spawn(self.call, n, 0.2) for n in range(2 * SERVERS * SLOTS)]
         gevent.sleep(0)
-        with self.calls.place("other", steady_seconds()) as granted:
+        with self.calls.slot("other", steady_seconds()) as granted:
             self.assertTrue(granted)
         gevent.killall(blockers)
 
@@ -141,7 +141,7 @@
             if calls is None:
                 run(choose_backend(scorers.candidates(SERVICE), set(), "here"), 0.2)
                 return
-            with calls.place(SERVICE, steady_seconds() + FAR):
+            with calls.slot(SERVICE, steady_seconds() + FAR):
                 run(choose_backend(scorers.candidates(SERVICE), set(), "here"), 0.2)
 
         tasks = [gevent.spawn(score) for _ in range(self.CALLS)]
