--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -162,7 +162,7 @@
             backend: the server as its entry describes it.
             revision: revision of the entry.
         """
-        resolved = self._starts.settle(backend, revision)
+        resolved = self._starts.resolve(backend, revision)
         if resolved is None:
             logger.info(
                 "ignored entry of a previous incarnation",
--- a/src/runkeel/gateway/server_starts.py
+++ b/src/runkeel/gateway/server_starts.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self._known: dict[str, _ServerRecord] = {}
 
-    def settle(self, backend: Backend, revision: int) -> Backend | None:
+    def resolve(self, backend: Backend, revision: int) -> Backend | None:
         """Return the entry with its start filled in; None if it is of a previous incarnation.
 
         Args:
--- a/tests/gateway/test_starts_fuzz.py
+++ b/tests/gateway/test_starts_fuzz.py
@@ -24,14 +24,14 @@
             self.assertIsNotNone(find_violation(StartsMachine, FEW))
 
     def test_accepting_an_update_of_a_previous_start_is_detected(self):
-        settle = IncarnationTracker.settle
+        resolve = IncarnationTracker.resolve
 
         def settle_without_history(starts, backend, revision):
             for known in starts._known.values():
                 known.previous.clear()
-            return settle(starts, backend, revision)
+            return resolve(starts, backend, revision)
 
-        with mock.patch.object(IncarnationTracker, "settle", settle_without_history):
+        with mock.patch.object(IncarnationTracker, "resolve", settle_without_history):
             self.assertIsNotNone(find_violation(StartsMachine, FEW))
 
 
--- a/tests/users_platform/test_servers_soak.py
+++ b/tests/users_platform/test_servers_soak.py
@@ -27,14 +27,14 @@
         self.assertGreater(report.answered, 100)
 
     def test_directory_that_passes_new_starts_over_is_found(self):
-        settle = IncarnationTracker.settle
+        resolve = IncarnationTracker.resolve
 
         def deaf(starts, backend, revision):
             known = starts._known.get(backend.backend_id)
             over = known is not None and known.start != backend.start
-            return None if over else settle(starts, backend, revision)
+            return None if over else resolve(starts, backend, revision)
 
-        with mock.patch.object(IncarnationTracker, "settle", deaf):
+        with mock.patch.object(IncarnationTracker, "resolve", deaf):
             report = ServersSoak(3, SECONDS).run()
         self.assertTrue([text for text in report.violations if "does not use" in text])
 
