--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -35,7 +35,7 @@
     Attributes:
         target: path and query, not decoded.
         received_at: steady clock time, in seconds, at which the headers had been read.
-        gone: set when the client has closed its connection.
+        disconnected: set when the client has closed its connection.
         tenant: name of the tenant; empty until it is known.
     """
 
@@ -44,7 +44,7 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     received_at: float
-    gone: Event = field(default_factory=Event)
+    disconnected: Event = field(default_factory=Event)
     tenant: str = ""
 
     def header(self, name: str) -> str:
@@ -205,7 +205,7 @@
         if request is None:
             start_response(_status_line(413), [("Content-Length", "0"), ("Connection", "close")])
             return [b""]
-        watcher = gevent.spawn(_watch_disconnect, connection.socket, request.gone)
+        watcher = gevent.spawn(_watch_disconnect, connection.socket, request.disconnected)
         try:
             response = self._respond(request)
         except BaseException:
