--- a/src/runkeel/gateway/event_sequence.py
+++ b/src/runkeel/gateway/event_sequence.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 
-def follows(last_event_id: str | None, event_id: str) -> bool:
+def is_next_event(last_event_id: str | None, event_id: str) -> bool:
     """Return whether an event is the next one in sequence; True if the ids aren't numeric.
 
     Args:
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -15,7 +15,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 from runkeel.gateway.backends import BackendDirectory, BackendState, choose_backend
-from runkeel.gateway.event_sequence import follows
+from runkeel.gateway.event_sequence import is_next_event
 from runkeel.gateway.return_time import estimate_retry_after
 from runkeel.http.frontend import ResponseAbortedError
 from runkeel.metrics import ATTEMPTS
@@ -245,7 +245,7 @@
         event = self._protocol.parse_event(block)
         if not event.event_id:
             return None
-        if not follows(relay.last_event_id, event.event_id):
+        if not is_next_event(relay.last_event_id, event.event_id):
             detail = f"event {event.event_id} out of sequence after {relay.last_event_id}"
             return RunkeelError(ErrorCode.BACKEND_LOST, detail)
         relay.last_event_id = event.event_id
--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -12,7 +12,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, may_have_run
 from runkeel.gateway.backends import BackendState
-from runkeel.gateway.event_sequence import follows
+from runkeel.gateway.event_sequence import is_next_event
 from runkeel.quarantine.quarantine import WatchedRequest
 
 RESPONSE_TIMEOUT_SECONDS = 2.0
@@ -217,7 +217,7 @@
         version = event.version or version
         if not event.has_data:
             return version
-        if not follows(self._partial.last_event_id, event.event_id):
+        if not is_next_event(self._partial.last_event_id, event.event_id):
             last = self._partial.last_event_id
             raise may_have_run(
                 ErrorCode.BACKEND_LOST, f"event out of order: {event.event_id} after {last}"
