--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -137,7 +137,7 @@
             epoch,
             self.scheduler.open_outputs,
             # Runners keep copies of the partial outputs of their own runs.
-            lambda: dependencies.election.copy_holders(keepers=not self.runners.needed),
+            lambda: dependencies.election.copy_holders(keepers=not self.runners.needs_runners),
             dependencies.journal,
             self.scheduler.is_finished,
         )
@@ -245,7 +245,7 @@
         Args:
             items: number of items of all open jobs.
         """
-        used = self.epoch > 1 and self.runners.may_be_used and items > LOCAL_RUNS
+        used = self.epoch > 1 and self.runners.engines_exceed_local_runs and items > LOCAL_RUNS
         return LOST_SECONDS if used else 0.0
 
     def _start_rollout(self) -> None:
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -117,13 +117,13 @@
         self._cached_slots_by_zone: dict[str, int] = {}
 
     @property
-    def needed(self) -> bool:
+    def needs_runners(self) -> bool:
         """Whether engine slots exceed what this node runs itself, and open items recently did."""
         recent = steady_seconds() - self._last_demand_at < DEMAND_RETENTION_SECONDS
-        return recent and self.may_be_used
+        return recent and self.engines_exceed_local_runs
 
     @property
-    def may_be_used(self) -> bool:
+    def engines_exceed_local_runs(self) -> bool:
         """Whether the engines have more slots than this node runs itself."""
         return self._total_slots() > LOCAL_RUNS
 
@@ -232,7 +232,7 @@
 
     def _nodes_to_invite(self) -> list[NodeAddress]:
         """Return nodes to invite so that each zone has enough runners for its engines' slots."""
-        if not self.needed:
+        if not self.needs_runners:
             return []
         now = steady_seconds()
         by_zone: dict[str, list[NodeAddress]] = {}
@@ -320,7 +320,7 @@
         runner.last_heard_at = steady_seconds()
         runner.late_ms = message.late_ms
         unknown = self._apply_updates(runner, message)
-        if not self.needed and not runner.runs:
+        if not self.needs_runners and not runner.runs:
             self._release(runner)
             return ItemRunProgressReply(False, [], [])
         return ItemRunProgressReply(
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -247,9 +247,9 @@
         few = self._pool(1)
         few._last_demand_at = -lease.DEMAND_RETENTION_SECONDS
         few._runners.clear()
-        self.assertFalse(few.needed)
+        self.assertFalse(few.needs_runners)
         few.set_open_items(1)
-        self.assertTrue(few.needed)
+        self.assertTrue(few.needs_runners)
         with mock.patch.object(pool, "LOCAL_RUNS", 1):
             self.assertIsNone(few.runner_for(self.directory.get("e")))
             self.assertTrue(few.has_capacity)
