--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -28,7 +28,7 @@
 from runkeel.jobs.scheduler import Scheduler
 from runkeel.jobs.scorer import Scorer
 from runkeel.quarantine.quarantine import Quarantine
-from runkeel.runners.lease import LOCAL_RUNS, LOST_SECONDS
+from runkeel.runners.lease import MAX_LOCAL_RUNS, RUNNER_LOST_SECONDS
 from runkeel.runners.pool import RunnerPool
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.usage.duty import UsageDuty
@@ -245,8 +245,8 @@
         Args:
             items: number of items of all open jobs.
         """
-        used = self.epoch > 1 and self.runners.engines_exceed_local_runs and items > LOCAL_RUNS
-        return LOST_SECONDS if used else 0.0
+        used = self.epoch > 1 and self.runners.engines_exceed_local_runs and items > MAX_LOCAL_RUNS
+        return RUNNER_LOST_SECONDS if used else 0.0
 
     def _start_rollout(self) -> None:
         """Start the rollout once the open jobs are loaded, since it depends on their demand.
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -18,10 +18,10 @@
 from runkeel.metrics import RUNNERS
 from runkeel.runners.lease import (
     DEMAND_RETENTION_SECONDS,
-    LOCAL_RUNS,
-    LOST_SECONDS,
+    MAX_LOCAL_RUNS,
     MAX_LOOP_LAG_MILLISECONDS,
     MAX_RUNS_PER_RUNNER,
+    RUNNER_LOST_SECONDS,
 )
 from runkeel.runners.remote_run import RemoteRun
 from runkeel.wire.generated.common.ttypes import MessageType
@@ -125,17 +125,17 @@
     @property
     def engines_exceed_local_runs(self) -> bool:
         """Whether the engines have more slots than this node runs itself."""
-        return self._total_slots() > LOCAL_RUNS
+        return self._total_slots() > MAX_LOCAL_RUNS
 
     def set_open_items(self, items: int) -> None:
         """Update the number of items that are waiting or running."""
-        if items > LOCAL_RUNS:
+        if items > MAX_LOCAL_RUNS:
             self._last_demand_at = steady_seconds()
 
     @property
     def has_capacity(self) -> bool:
         """Whether this node or a sampled runner has capacity for one more run."""
-        if self._local_runs < LOCAL_RUNS:
+        if self._local_runs < MAX_LOCAL_RUNS:
             return True
         return any(runner.has_capacity for runner in self._all_runners.sample(SAMPLED_RUNNERS))
 
@@ -155,7 +155,7 @@
 
         Prefers the runner that the engine was last assigned, then one in the engine's zone.
         """
-        if self._local_runs < LOCAL_RUNS or not self._runners:
+        if self._local_runs < MAX_LOCAL_RUNS or not self._runners:
             return None
         runner = self._last_runner_by_engine.get(engine.incarnation)
         if runner is not None and runner.node_id in self._runners and runner.has_capacity:
@@ -367,7 +367,7 @@
 
     def _drop_lost_runners(self) -> None:
         """Remove runners that have been silent until their leases have certainly expired."""
-        oldest = steady_seconds() - LOST_SECONDS
+        oldest = steady_seconds() - RUNNER_LOST_SECONDS
         for runner in [one for one in self._runners.values() if one.last_heard_at < oldest]:
             self._remove_runner(runner)
             logger.info(
--- a/src/runkeel/runners/remote_run.py
+++ b/src/runkeel/runners/remote_run.py
@@ -10,7 +10,7 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.jobs.generation_run import PartialOutput, RunOutcome
 from runkeel.runners.hosted_run import SCORING_FAILED
-from runkeel.runners.lease import LOST_SECONDS
+from runkeel.runners.lease import RUNNER_LOST_SECONDS
 from runkeel.wire.generated.jobs.ttypes import ItemRunStart, ItemRunStartReply, ItemRunUpdate
 
 END_GRACE_SECONDS = 2.0
@@ -153,7 +153,7 @@
     def _await_end(self) -> None:
         """Request the end and wait until it is confirmed or the runner's lease has expired."""
         self._request_end(self.run_id)
-        self._ended.wait(2 * LOST_SECONDS)
+        self._ended.wait(2 * RUNNER_LOST_SECONDS)
 
     def _apply_outcome(self, update: ItemRunUpdate) -> None:
         if update.outcome == SCORING_FAILED:
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -31,7 +31,7 @@
     "PROGRESS_TIMEOUT_SECONDS",
     "PROGRESS_INTERVAL_SECONDS",
     "RUN_LEASE_SECONDS",
-    "LOST_SECONDS",
+    "RUNNER_LOST_SECONDS",
     "PLAN_INTERVAL_SECONDS",
     "INVITE_RETRY_SECONDS",
 )
@@ -79,7 +79,7 @@
                     patch = mock.patch.object(module, name, getattr(lease, name, 1.0) * SCALE)
                     patch.start()
                     self.addCleanup(patch.stop)
-        few = mock.patch.object(pool, "LOCAL_RUNS", 0)
+        few = mock.patch.object(pool, "MAX_LOCAL_RUNS", 0)
         few.start()
         self.addCleanup(few.stop)
         self.network = MemoryNetwork()
@@ -176,14 +176,14 @@
         self.network.cut("c", "r")
         gevent.sleep(0.4 * lease.RUN_LEASE_SECONDS * SCALE)
         self.network.heal()
-        gevent.sleep(2 * lease.LOST_SECONDS * SCALE)
+        gevent.sleep(2 * lease.RUNNER_LOST_SECONDS * SCALE)
         self.assertEqual((self.hosted[0].outcome, task.ready()), ("", False))
 
     def test_start_that_arrives_after_the_lease_expired_is_refused(self):
         """A start may be delayed by a network partition until after it has healed."""
         run = self._new_run()
         self.network.cut("c", "r")
-        gevent.sleep(2 * lease.LOST_SECONDS * SCALE)
+        gevent.sleep(2 * lease.RUNNER_LOST_SECONDS * SCALE)
         self.network.heal()
         self._joined()
         self.assertIs(run.run(steady_seconds() + 1.0), RunOutcome.REFUSED)
@@ -250,7 +250,7 @@
         self.assertFalse(few.needs_runners)
         few.set_open_items(1)
         self.assertTrue(few.needs_runners)
-        with mock.patch.object(pool, "LOCAL_RUNS", 1):
+        with mock.patch.object(pool, "MAX_LOCAL_RUNS", 1):
             self.assertIsNone(few.runner_for(self.directory.get("e")))
             self.assertTrue(few.has_capacity)
 
@@ -266,7 +266,7 @@
         self._joined()
 
     def test_lease_expires_before_the_runner_counts_as_lost(self):
-        self.assertGreater(lease.LOST_SECONDS, lease.RUN_LEASE_SECONDS + 0.4)
+        self.assertGreater(lease.RUNNER_LOST_SECONDS, lease.RUN_LEASE_SECONDS + 0.4)
         tries = lease.PROGRESS_INTERVAL_SECONDS + lease.PROGRESS_TIMEOUT_SECONDS
         self.assertLess(2 * tries, lease.RUN_LEASE_SECONDS)
 
--- a/tests/runners/test_remote_runs.py
+++ b/tests/runners/test_remote_runs.py
@@ -17,7 +17,7 @@
 class RemoteRunsTest(unittest.TestCase):
     def setUp(self):
         for module in (pool, coordinator_term):
-            few = mock.patch.object(module, "LOCAL_RUNS", 0)
+            few = mock.patch.object(module, "MAX_LOCAL_RUNS", 0)
             few.start()
             self.addCleanup(few.stop)
 
