--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -317,7 +317,7 @@
         """Return the successors that hold copies of the open jobs, which nodes query first."""
         return [one.node_id for one in self._peers.successors()[:MAX_QUERIED_SUCCESSORS]]
 
-    def keepers(self) -> KnownStorageNodes:
+    def storage_nodes(self) -> KnownStorageNodes:
         """Return the nodes that keep jobs on behalf of the store: coordinator and successors."""
         known = self._coordinator
         keepers = [
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -242,7 +242,7 @@
         folder = settings.data_folder
         tolerance = settings.loss_tolerance
         quorum = StorageQuorum(tolerance, settings.zone_regions) if tolerance else None
-        hints = HintClient(self._network, SHARD, self._election.keepers, quorum)
+        hints = HintClient(self._network, SHARD, self._election.storage_nodes, quorum)
         self.jobs = JobService(store, self._network, self._election, SHARD, hints)
         self.hints = HintService(
             self._network,
--- a/src/runkeel/handoff/hint_client.py
+++ b/src/runkeel/handoff/hint_client.py
@@ -69,7 +69,7 @@
     """Sends hints of jobs to storage nodes, and looks up jobs that are not in the store.
 
     Args:
-        keepers: returns the storage nodes that are known to be up.
+        storage_nodes: returns the storage nodes that are known to be up.
         quorum: decides which sets of nodes are enough; None if there are no storage nodes.
     """
 
@@ -77,17 +77,17 @@
         self,
         network: PeerNetwork,
         shard: str,
-        keepers: Callable[[], KnownStorageNodes],
+        storage_nodes: Callable[[], KnownStorageNodes],
         quorum: StorageQuorum | None,
     ) -> None:
         self._network = network
         self._shard = shard
-        self._keepers = keepers
+        self._storage_nodes = storage_nodes
         self._quorum = quorum
 
-    def keep(self, job_id: str, encoded: EncodedJob) -> HintOutcome:
+    def send_hints(self, job_id: str, encoded: EncodedJob) -> HintOutcome:
         """Send hints of a job to all storage nodes; returns as soon as enough of them have it."""
-        nodes = self._keepers().keepers
+        nodes = self._storage_nodes().nodes
         if self._quorum is None or not self._quorum.is_durable(nodes):
             return HintOutcome.REFUSED
         message = JobHint(self._shard, job_id, serialize_job(encoded))
@@ -106,17 +106,17 @@
         )
         return outcome
 
-    def trace(self, job_id: str) -> HintLookupResult:
+    def look_up(self, job_id: str) -> HintLookupResult:
         """Look up whether a job that is not in the store may have been accepted."""
         if self._quorum is None:
             return HintLookupResult.RULED_OUT
-        known = self._keepers()
+        known = self._storage_nodes()
         message = JobHintLookup(self._shard, job_id)
-        lookups = {node: gevent.spawn(self._look_up, node, message) for node in known.keepers}
+        lookups = {node: gevent.spawn(self._look_up, node, message) for node in known.nodes}
         gevent.joinall(list(lookups.values()), timeout=LOOKUP_TIMEOUT_SECONDS)
         replies = {node: task.value for node, task in lookups.items() if task.value is not None}
         unheard = [
-            node for node in known.keepers if node not in replies or not replies[node].remembers
+            node for node in known.nodes if node not in replies or not replies[node].remembers
         ]
         if any(reply.kept for reply in replies.values()):
             trace = HintLookupResult.KEPT
@@ -129,7 +129,7 @@
             code="job_looked_up",
             job=job_id,
             trace=trace.value,
-            keepers=len(known.keepers),
+            keepers=len(known.nodes),
             complete=known.complete,
             unheard=sorted(node.node_id for node in unheard),
         )
--- a/src/runkeel/handoff/keeper_quorum.py
+++ b/src/runkeel/handoff/keeper_quorum.py
@@ -41,7 +41,7 @@
         complete: whether this is certain to include all of them.
     """
 
-    keepers: tuple[StorageNode, ...]
+    nodes: tuple[StorageNode, ...]
     complete: bool = True
 
 
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -152,7 +152,7 @@
         """Have storage nodes keep a job that could not be stored, until it can be."""
         if self._hints is None:
             return HintOutcome.REFUSED
-        outcome = self._hints.keep(job.job_id, submission.encoded)
+        outcome = self._hints.send_hints(job.job_id, submission.encoded)
         if outcome is HintOutcome.ACCEPTED:
             _log_accepted(job, by="storage machines")
         return outcome
@@ -358,7 +358,7 @@
         """
         if self._hints is None:
             return None
-        trace = self._hints.trace(job_id)
+        trace = self._hints.look_up(job_id)
         if trace is HintLookupResult.RULED_OUT:
             return self._read_job(job_id)
         detail = "job is accepted but not stored yet"
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -200,9 +200,9 @@
             self.start_node(name)
         self.objects.down = True
         self.network.silent.add("k2")
-        self.assertIs(self.client().keep("j", make_encoded()), HintOutcome.ACCEPTED)
+        self.assertIs(self.client().send_hints("j", make_encoded()), HintOutcome.ACCEPTED)
         self.network.silent.add("k3")
-        self.assertIs(self.client().keep("j2", make_encoded("j2")), HintOutcome.UNSURE)
+        self.assertIs(self.client().send_hints("j2", make_encoded("j2")), HintOutcome.UNSURE)
 
     def test_accepted_when_one_storage_node_reaches_the_store(self):
         unreachable_store = MemoryDocumentStore()
@@ -210,16 +210,16 @@
         self.start_node("k1", store=unreachable_store)
         self.start_node("k2", disk=False, store=unreachable_store)
         self.start_node("k3", disk=False)
-        self.assertIs(self.client(3).keep("j", make_encoded()), HintOutcome.ACCEPTED)
+        self.assertIs(self.client(3).send_hints("j", make_encoded()), HintOutcome.ACCEPTED)
         self.assertTrue(self.stored())
 
     def test_refused_when_no_node_has_it(self):
         for name in STORAGE_NODES:
             self.start_node(name, disk=False)
         self.objects.down = True
-        self.assertIs(self.client().keep("j", make_encoded()), HintOutcome.REFUSED)
-        self.assertIs(self.client(4).keep("j", make_encoded()), HintOutcome.REFUSED)
-        self.assertIs(self.client(0).keep("j", make_encoded()), HintOutcome.REFUSED)
+        self.assertIs(self.client().send_hints("j", make_encoded()), HintOutcome.REFUSED)
+        self.assertIs(self.client(4).send_hints("j", make_encoded()), HintOutcome.REFUSED)
+        self.assertIs(self.client(0).send_hints("j", make_encoded()), HintOutcome.REFUSED)
         self.assertEqual(self.hinted_jobs, [])
 
     def test_job_with_a_hint_is_not_ruled_out(self):
@@ -227,23 +227,23 @@
             self.start_node(name, first_start=True)
         self.objects.down = True
         self.send_hint(make_encoded(), name="k2")
-        self.assertIs(self.client().trace("j"), HintLookupResult.KEPT)
-        self.assertIs(self.client().trace("other"), HintLookupResult.RULED_OUT)
+        self.assertIs(self.client().look_up("j"), HintLookupResult.KEPT)
+        self.assertIs(self.client().look_up("other"), HintLookupResult.RULED_OUT)
 
     def test_job_is_ruled_out_only_by_enough_nodes(self):
         """Nodes that do not reply must not count as having denied the job."""
         for name in STORAGE_NODES:
             self.start_node(name, first_start=True)
         self.network.silent.add("k1")
-        self.assertIs(self.client().trace("j"), HintLookupResult.RULED_OUT)
+        self.assertIs(self.client().look_up("j"), HintLookupResult.RULED_OUT)
         self.network.silent.add("k2")
-        self.assertIs(self.client().trace("j"), HintLookupResult.UNSURE)
+        self.assertIs(self.client().look_up("j"), HintLookupResult.UNSURE)
 
     def test_node_with_a_new_disk_cannot_deny_jobs(self):
         self.start_node("k1", first_start=True)
         self.start_node("k2")
         self.start_node("k3")
-        self.assertIs(self.client().trace("j"), HintLookupResult.UNSURE)
+        self.assertIs(self.client().look_up("j"), HintLookupResult.UNSURE)
 
     def test_complete_history_stays_complete_after_a_restart(self):
         self.start_node("k1", first_start=True)
@@ -265,7 +265,7 @@
     def test_client_with_incomplete_node_list_denies_no_jobs(self):
         for name in STORAGE_NODES:
             self.start_node(name, first_start=True)
-        self.assertIs(self.client(complete=False).trace("j"), HintLookupResult.UNSURE)
+        self.assertIs(self.client(complete=False).look_up("j"), HintLookupResult.UNSURE)
 
 
 class JobTextTest(unittest.TestCase):
--- a/tests/users_platform/test_cut_zone.py
+++ b/tests/users_platform/test_cut_zone.py
@@ -43,8 +43,8 @@
             self._wrap(node)
 
     def knows_all(self, node):
-        known = node._election.keepers()
-        return known.complete and len(known.keepers) >= DISKS
+        known = node._election.storage_nodes()
+        return known.complete and len(known.nodes) >= DISKS
 
     def _wrap(self, node):
         """Let a node's calls fail that cross the cut, as they do behind a silent partition."""
--- a/tests/users_platform/test_operator_queries.py
+++ b/tests/users_platform/test_operator_queries.py
@@ -145,7 +145,7 @@
         self.assertEqual(self.rows("show usage", "edge-0"), [])
         self.deployment.store.refused = True
         nodes = [self.deployment.node(name).node for name in self.deployment.edge_names]
-        self.wait(lambda: all(len(one._election.keepers().keepers) >= 3 for one in nodes))
+        self.wait(lambda: all(len(one._election.storage_nodes().nodes) >= 3 for one in nodes))
         self.assertEqual(self.deployment.submit("edge-0", "k", ["k-g0-0"], key="p1"), 202)
         (kept,) = self.wait(lambda: self.rows("show kept_jobs", coordinator))
         self.assertEqual((kept["job"], kept["items"]), ("k", 1))
--- a/tests/users_platform/test_store_outage.py
+++ b/tests/users_platform/test_store_outage.py
@@ -20,7 +20,7 @@
         deployment = self.start(**sizes)
         disks = len(deployment.node_names) - len(deployment.edge_names)
         nodes = [deployment.node(name).node for name in deployment.edge_names]
-        self.wait(lambda: all(len(one._election.keepers().keepers) >= disks for one in nodes))
+        self.wait(lambda: all(len(one._election.storage_nodes().nodes) >= disks for one in nodes))
         return deployment
 
     def check_whole(self, deployment, job_id, items):
--- a/tests/users_platform/test_tenants.py
+++ b/tests/users_platform/test_tenants.py
@@ -101,7 +101,7 @@
         for edge in deployment.edge_names:
             # A node that has just started may not have been told of all machines that keep jobs.
             election = deployment.node(edge).node._election
-            self.wait(lambda election=election: election.keepers().complete)
+            self.wait(lambda election=election: election.storage_nodes().complete)
         read = "/runkeel/lots/t2?AfterRevision=0"
         body = f"/runkeel/items/t2?Id={items[0]}"
         for edge in deployment.edge_names:
