--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -499,7 +499,7 @@
     def begin_tentative_term(self, epoch: int) -> None:
         """Continue running items until the store is back; called by the election."""
         self._create_term(epoch)
-        self._term.start_tentatively(self._job_copies.jobs(), self.hints.jobs())
+        self._term.start_tentatively(self._job_copies.jobs(), self.hints.hinted_jobs())
 
     def begin_term(self, epoch: int) -> None:
         """Start coordinating, or confirm a tentative term; called by the election."""
--- a/src/runkeel/handoff/hint_service.py
+++ b/src/runkeel/handoff/hint_service.py
@@ -92,7 +92,7 @@
         """Number of hints that this node keeps."""
         return len(self._hints)
 
-    def jobs(self) -> list[tuple[str, EncodedJob]]:
+    def hinted_jobs(self) -> list[tuple[str, EncodedJob]]:
         """Return the id and the document of each job that this node keeps a hint of."""
         return [
             (job_id, deserialize_job(serialized_job))
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -211,7 +211,7 @@
                 encoded.content.get("item_count"),
                 int((now - encoded.content["submitted_at"]) * 1000),
             )
-            for job_id, encoded in self._node.hints.jobs()
+            for job_id, encoded in self._node.hints.hinted_jobs()
         ]
 
 
