--- a/src/runkeel/runners/lease.py
+++ b/src/runkeel/runners/lease.py
@@ -2,8 +2,8 @@
 
 A runner ends its runs when :data:`RUN_LEASE_SECONDS` have passed since it sent the last progress
 message that the coordinator replied to. The coordinator restarts an item elsewhere only when
-:data:`RUNNER_LOST_SECONDS` have passed since it received the runner's last message. That is always later,
-so that no item ever runs at two engines.
+:data:`RUNNER_LOST_SECONDS` have passed since it received the runner's last message. That is always
+later, so that no item ever runs at two engines.
 """
 
 from __future__ import annotations
