--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -12,7 +12,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, may_have_run
 from runkeel.gateway.backends import BackendState
-from runkeel.gateway.event_sequence import is_next_event
+from runkeel.gateway.event_order import is_next_event
 from runkeel.quarantine.quarantine import WatchedRequest
 
 RESPONSE_TIMEOUT_SECONDS = 2.0
