--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -84,7 +84,7 @@
 """Number of successors to query; if none of them answers, the store is read."""
 
 STORAGE_NODES_SETTLE_SECONDS = 3.0
-"""How long after its start a node's list of keepers may be incomplete."""
+"""How long after its start a node's list of storage nodes may be incomplete."""
 
 SUCCESSOR_QUERY_INTERVAL_SECONDS = 0.2
 """Interval between queries to the likeliest successors, as all nodes query the same ones."""
