--- a/src/runkeel/wire/__init__.py
+++ b/src/runkeel/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The internal protocol: thrift messages in multiplexed frames."""
+"""The protocol between nodes: thrift messages in multiplexed streams."""
--- a/src/runkeel/wire/codec.py
+++ b/src/runkeel/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes thrift structs in the compact protocol."""
+"""Encoding of thrift structs in the compact protocol."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 from runkeel.errors import ErrorCode, RunkeelError
 
-MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
-"""Largest encoded message."""
+MAX_BODY_BYTES = 16 * 1024 * 1024
+"""Largest encoded message, in bytes."""
 
-MAXIMUM_CONTAINER_ITEMS = 1_000_000
-"""Largest list, set or map inside a message."""
+MAX_CONTAINER_ITEMS = 1_000_000
+"""Most entries of a list, set or map in a message."""
 
 Message = TypeVar("Message")
 
 _FACTORY = TCompactProtocolAcceleratedFactory(
-    string_length_limit=MAXIMUM_BODY_BYTES,
-    container_length_limit=MAXIMUM_CONTAINER_ITEMS,
+    string_length_limit=MAX_BODY_BYTES,
+    container_length_limit=MAX_CONTAINER_ITEMS,
     fallback=False,
 )
-_DECODE_ERRORS = (
+_CODEC_ERRORS = (
     TException,
     EOFError,
     TypeError,
@@ -36,16 +36,16 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return the compact-protocol form of a thrift struct.
+    """Encode a thrift struct.
 
     Raises:
-        RunkeelError: PROTOCOL_ERROR when a field has a wrong type or the result is too large.
+        RunkeelError: PROTOCOL_ERROR when a field has the wrong type or the message is too large.
     """
     try:
         body = serialize(message, _FACTORY)
-    except _DECODE_ERRORS as error:
+    except _CODEC_ERRORS as error:
         raise _protocol_error(type(message), error) from error
-    if len(body) > MAXIMUM_BODY_BYTES:
+    if len(body) > MAX_BODY_BYTES:
         raise RunkeelError(
             ErrorCode.PROTOCOL_ERROR, f"{type(message).__name__} of {len(body)} bytes is too large"
         )
@@ -53,17 +53,19 @@
 
 
 def decode(message_class: type[Message], body: bytes) -> Message:
-    """Return the thrift struct that ``body`` holds.
+    """Decode a thrift struct.
 
     Raises:
-        RunkeelError: PROTOCOL_ERROR when the body is no such struct or is too large.
+        RunkeelError: PROTOCOL_ERROR when the body is malformed or too large.
     """
-    if len(body) > MAXIMUM_BODY_BYTES:
-        raise RunkeelError(ErrorCode.PROTOCOL_ERROR, f"{len(body)} bytes are too large")
+    if len(body) > MAX_BODY_BYTES:
+        raise RunkeelError(
+            ErrorCode.PROTOCOL_ERROR, f"message body of {len(body)} bytes is too large"
+        )
     message = message_class()
     try:
         return deserialize(message, body, _FACTORY)
-    except _DECODE_ERRORS as error:
+    except _CODEC_ERRORS as error:
         raise _protocol_error(message_class, error) from error
 
 
--- a/src/runkeel/wire/connection.py
+++ b/src/runkeel/wire/connection.py
@@ -1,6 +1,6 @@
-"""One authenticated TCP connection to a peer: a reader task, a writer task and its streams.
+"""An authenticated TCP connection to a peer, with a reader task, a writer task and streams.
 
-Only the dialling side opens streams, so stream ids need no agreement.
+Only the dialing side opens streams, so stream ids cannot collide.
 """
 
 from __future__ import annotations
@@ -24,38 +24,38 @@
 from runkeel.wire.streams import Stream
 
 PEER_TIMEOUT_SECONDS = 2.0
-"""Silence after which a peer that owes an answer counts as lost."""
+"""Time without received data after which an unresponsive peer counts as lost."""
 
-PING_AFTER_SECONDS = 0.5
-"""Silence after which a connection with open streams is probed."""
+KEEPALIVE_SECONDS = 0.5
+"""Time without received data after which a connection with open streams is pinged."""
 
-IDLE_PING_SECONDS = 5.0
-"""Silence after which a connection without streams is probed by its dialling side."""
+IDLE_KEEPALIVE_SECONDS = 5.0
+"""Time without received data after which the dialing side pings a connection without streams."""
 
-IDLE_CLOSE_SECONDS = 60.0
-"""Time without streams after which the dialling side closes."""
+IDLE_TIMEOUT_SECONDS = 60.0
+"""Time without open streams after which the dialing side closes the connection."""
 
-MAXIMUM_STREAMS = 1_024
-MAXIMUM_QUEUED_BYTES = 8 * 1024 * 1024
-WRITE_ROOM_TIMEOUT_SECONDS = 5.0
+MAX_STREAMS = 1_024
+MAX_QUEUED_BYTES = 8 * 1024 * 1024
+SEND_QUEUE_TIMEOUT_SECONDS = 5.0
 _RECEIVE_BYTES = 64 * 1024
 _BATCH_BYTES = 64 * 1024
-_CHUNKS_PER_TURN = 16
-_CUT_POLL_SECONDS = 0.05
+_CHUNKS_PER_YIELD = 16
+_PARTITION_POLL_SECONDS = 0.05
 _CONTROL_TYPES = frozenset((FINISH, MessageType.ERROR, MessageType.CANCEL, MessageType.WINDOW))
 
 
 class _QueuedFrame(NamedTuple):
     stream: Stream | None
     data: bytes
-    due: float
+    send_at: float
 
 
 class Connection:
-    """A connection in use. Implements :class:`runkeel.wire.streams.FrameSink`.
+    """A connection to one peer. Implements :class:`runkeel.wire.streams.FrameSink`.
 
     Args:
-        registry: serves the peer's streams; None on the dialling side.
+        registry: handles streams that the peer opens; None on the dialing side.
         on_closed: called once when the connection has ended.
     """
 
@@ -81,15 +81,15 @@
         self._queued_bytes = 0
         self._queue_filled = Event()
         self._queue_drained = Event()
-        self._received_at = steady_seconds()
-        self._unanswered_ping_at: float | None = None
-        self._used_at = steady_seconds()
-        self._tasks: list[gevent.Greenlet] = []
+        self._last_received_at = steady_seconds()
+        self._ping_sent_at: float | None = None
+        self._last_used_at = steady_seconds()
+        self._io_tasks: list[gevent.Greenlet] = []
 
     def start(self) -> None:
-        """Start the reader and the writer."""
+        """Start the reader and writer tasks."""
         metrics.CONNECTIONS.labels(self._direction).inc()
-        self._tasks = [gevent.spawn(self._read), gevent.spawn(self._write)]
+        self._io_tasks = [gevent.spawn(self._read), gevent.spawn(self._write)]
 
     def discard(self) -> None:
         """Close a connection that was never started."""
@@ -103,61 +103,70 @@
             RunkeelError: PEER_UNREACHABLE or QUEUE_FULL, both NOT_RUN.
         """
         if self.closed:
-            raise not_run(ErrorCode.PEER_UNREACHABLE, f"lost {self.peer_node_id}")
-        if len(self._streams) >= MAXIMUM_STREAMS or self._queued_bytes >= MAXIMUM_QUEUED_BYTES:
+            raise not_run(
+                ErrorCode.PEER_UNREACHABLE, f"connection to {self.peer_node_id} is closed"
+            )
+        if len(self._streams) >= MAX_STREAMS or self._queued_bytes >= MAX_QUEUED_BYTES:
             metrics.STREAMS_REFUSED.inc()
-            raise not_run(ErrorCode.QUEUE_FULL, f"too much is under way to {self.peer_node_id}")
+            raise not_run(
+                ErrorCode.QUEUE_FULL, f"too many streams or queued bytes to {self.peer_node_id}"
+            )
         self._last_stream_id += 1
         stream = Stream(self, self._last_stream_id, self.peer_node_id)
         self._streams[stream.stream_id] = stream
-        self._put(stream, message_type, body)
+        self._enqueue(stream, message_type, body)
         return stream
 
     def write(self, stream: Stream, message_type: int, body: bytes) -> None:
-        """Queue an application frame; blocks while too much is queued."""
-        deadline = steady_seconds() + WRITE_ROOM_TIMEOUT_SECONDS
-        while self._queued_bytes >= MAXIMUM_QUEUED_BYTES and not self.closed:
+        """Queue an application frame; blocks while the send queue is full.
+
+        Raises:
+            RunkeelError: DEADLINE_EXCEEDED when the queue stays full, PEER_LOST when the connection
+                is closed.
+        """
+        deadline = steady_seconds() + SEND_QUEUE_TIMEOUT_SECONDS
+        while self._queued_bytes >= MAX_QUEUED_BYTES and not self.closed:
             self._queue_drained.clear()
             if not self._queue_drained.wait(max(0.0, deadline - steady_seconds())):
-                raise RunkeelError(ErrorCode.DEADLINE_EXCEEDED, "the connection does not drain")
+                raise RunkeelError(ErrorCode.DEADLINE_EXCEEDED, "send queue stayed full")
         if self.closed:
-            raise RunkeelError(ErrorCode.PEER_LOST, f"lost {self.peer_node_id}")
-        self._put(stream, message_type, body)
+            raise RunkeelError(ErrorCode.PEER_LOST, f"connection to {self.peer_node_id} is closed")
+        self._enqueue(stream, message_type, body)
 
     def write_control(self, stream: Stream | None, message_type: int, body: bytes) -> None:
-        """Queue a small frame without blocking."""
+        """Queue a control frame without blocking; does nothing on a closed connection."""
         if not self.closed:
-            self._put(stream, message_type, body)
+            self._enqueue(stream, message_type, body)
 
-    def forget(self, stream: Stream) -> None:
-        """Drop a stream that is over."""
+    def remove_stream(self, stream: Stream) -> None:
+        """Remove a finished stream from the connection."""
         if self._streams.get(stream.stream_id) is stream:
             del self._streams[stream.stream_id]
-            self._used_at = steady_seconds()
+            self._last_used_at = steady_seconds()
 
-    def check(self, now: float) -> None:
-        """Probe a silent peer, and close a lost or unused connection; called regularly."""
-        if self._unanswered_ping_at is not None:
-            if now - self._unanswered_ping_at > PEER_TIMEOUT_SECONDS - PING_AFTER_SECONDS:
-                self.fail("no answer to a keep-alive probe")
+    def check_liveness(self, now: float) -> None:
+        """Ping a silent peer; close the connection if it is lost or idle. Called periodically."""
+        if self._ping_sent_at is not None:
+            if now - self._ping_sent_at > PEER_TIMEOUT_SECONDS - KEEPALIVE_SECONDS:
+                self.fail("keepalive ping timed out")
             return
-        dialled = self._registry is None
-        if not self._streams and dialled and now - self._used_at > IDLE_CLOSE_SECONDS:
-            self.close("unused")
+        outbound = self._registry is None
+        if not self._streams and outbound and now - self._last_used_at > IDLE_TIMEOUT_SECONDS:
+            self.close("idle")
             return
-        ping_after = PING_AFTER_SECONDS if self._streams else IDLE_PING_SECONDS
-        if (self._streams or dialled) and now - self._received_at > ping_after:
-            self._unanswered_ping_at = now
+        ping_after = KEEPALIVE_SECONDS if self._streams else IDLE_KEEPALIVE_SECONDS
+        if (self._streams or outbound) and now - self._last_received_at > ping_after:
+            self._ping_sent_at = now
             self.write_control(None, MessageType.PING, b"")
 
-    def forgive(self, now: float) -> None:
-        """Restart the silence clock: this process was paused, not the peer."""
-        self._received_at = now
-        if self._unanswered_ping_at is not None:
-            self._unanswered_ping_at = now
+    def restart_peer_timeout(self, now: float) -> None:
+        """Restart the peer's timeout after this process, rather than the peer, was paused."""
+        self._last_received_at = now
+        if self._ping_sent_at is not None:
+            self._ping_sent_at = now
 
     def fail(self, reason: str) -> None:
-        """End the connection after a failure."""
+        """Close the connection after a failure."""
         if not self.closed:
             metrics.CONNECTIONS_LOST.inc()
             logger.info(
@@ -166,7 +175,7 @@
         self.close(reason)
 
     def close(self, reason: str) -> None:
-        """End the connection and all its streams."""
+        """Close the connection and end all its streams."""
         if self.closed:
             return
         self.closed = True
@@ -175,27 +184,27 @@
         streams = list(self._streams.values())
         self._streams.clear()
         for stream in streams:
-            stream.lose()
+            stream.on_connection_lost()
         self._queue.clear()
         self._queue_drained.set()
         self._on_closed(self)
-        # Last, because the task that closes may be one of them.
+        # Done last, and not for the current task, which may be the reader or the writer.
         current = gevent.getcurrent()
-        gevent.killall([task for task in self._tasks if task is not current], block=False)
+        gevent.killall([task for task in self._io_tasks if task is not current], block=False)
 
     @property
     def _direction(self) -> str:
         return "out" if self._registry is None else "in"
 
-    def _put(self, stream: Stream | None, message_type: int, body: bytes) -> None:
+    def _enqueue(self, stream: Stream | None, message_type: int, body: bytes) -> None:
         stream_id = CONNECTION_STREAM if stream is None else stream.stream_id
         data = encode_frame(stream_id, message_type, body)
         policy = self._link_policy
-        due = 0.0
+        send_at = 0.0
         if policy is not None:
             delay = policy.delay_seconds(self._peer_zone)
-            due = steady_seconds() + delay if delay else 0.0
-        self._queue.append(_QueuedFrame(stream, data, due))
+            send_at = steady_seconds() + delay if delay else 0.0
+        self._queue.append(_QueuedFrame(stream, data, send_at))
         self._queued_bytes += len(data)
         self._queue_filled.set()
 
@@ -206,37 +215,37 @@
                 if not self._queue:
                     self._queue_filled.wait()
                     continue
-                self._wait_for_link()
+                self._wait_for_emulated_link()
                 self._send(self._next_batch())
         except (OSError, gevent.Timeout) as error:
-            self.fail(f"send: {error}")
+            self.fail(f"send failed: {error}")
 
-    def _wait_for_link(self) -> None:
-        """Hold the queue's head back as the emulated link demands."""
+    def _wait_for_emulated_link(self) -> None:
+        """Hold back the first queued frame as the link policy requires."""
         if self._link_policy is None:
             return
-        delay = self._queue[0].due - steady_seconds()
+        delay = self._queue[0].send_at - steady_seconds()
         if delay > 0:
             gevent.sleep(delay)
-        self._wait_while_cut()
+        self._wait_while_partitioned()
 
-    def _wait_while_cut(self) -> None:
+    def _wait_while_partitioned(self) -> None:
         policy = self._link_policy
-        while policy is not None and not self.closed and policy.is_cut(self._peer_zone):
-            gevent.sleep(_CUT_POLL_SECONDS)
+        while policy is not None and not self.closed and policy.is_partitioned(self._peer_zone):
+            gevent.sleep(_PARTITION_POLL_SECONDS)
 
     def _next_batch(self) -> bytes:
-        """Take the frames that are due; from here on they count as handed to the kernel."""
+        """Return the frames to send now; their streams count as opened at the peer from here on."""
         parts = []
         size = 0
         now = steady_seconds() if self._link_policy is not None else 0.0
-        while self._queue and size < _BATCH_BYTES and self._queue[0].due <= now:
+        while self._queue and size < _BATCH_BYTES and self._queue[0].send_at <= now:
             stream, data, _ = self._queue.popleft()
             self._queued_bytes -= len(data)
             if stream is not None:
                 if stream.withdrawn:
                     continue
-                stream.handed = True
+                stream.opening_sent = True
             parts.append(data)
             size += len(data)
         self._queue_drained.set()
@@ -256,23 +265,25 @@
         try:
             while not self.closed:
                 chunk = self._socket.recv(_RECEIVE_BYTES)
-                self._wait_while_cut()
+                self._wait_while_partitioned()
                 if not chunk:
-                    self.fail("closed by the peer") if self._streams else self.close("closed")
+                    self.fail(
+                        "closed by the peer with open streams"
+                    ) if self._streams else self.close("closed by the peer")
                     return
-                self._received_at = steady_seconds()
-                self._unanswered_ping_at = None
+                self._last_received_at = steady_seconds()
+                self._ping_sent_at = None
                 metrics.BYTES_RECEIVED.inc(len(chunk))
                 for frame in decoder.feed(chunk):
-                    self._take(frame)
+                    self._dispatch(frame)
                 chunks += 1
-                if chunks % _CHUNKS_PER_TURN == 0:
-                    # A socket that always has data never yields by itself.
+                if chunks % _CHUNKS_PER_YIELD == 0:
+                    # recv() does not yield to other greenlets while the socket has data.
                     gevent.sleep(0)
         except (OSError, RunkeelError) as error:
-            self.fail(f"receive: {error}")
+            self.fail(f"receive failed: {error}")
 
-    def _take(self, frame: Frame) -> None:
+    def _dispatch(self, frame: Frame) -> None:
         if frame.stream_id == CONNECTION_STREAM:
             if frame.message_type == MessageType.PING:
                 self.write_control(None, MessageType.PONG, b"")
@@ -288,6 +299,6 @@
     def _accept_stream(self, frame: Frame) -> None:
         self._last_stream_id = frame.stream_id
         stream = Stream(self, frame.stream_id, self.peer_node_id)
-        stream.handed = True
+        stream.opening_sent = True
         self._streams[frame.stream_id] = stream
         self._registry.serve(stream, frame.message_type, frame.body)
--- a/src/runkeel/wire/dialing.py
+++ b/src/runkeel/wire/dialing.py
@@ -1,4 +1,4 @@
-"""Connections that this node opens: one to each peer, dialled on demand, with backoff."""
+"""Outbound connections: at most one to each peer, opened on demand, with backoff."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 from runkeel.wire.links import LinkPolicy
 
 AddressBook = Callable[[str], "tuple[Address, str] | None"]
-"""Returns a node's peer address and zone, or None for an unknown node."""
+"""Looks up a node's peer address and zone; None for an unknown node."""
 
 DIAL_TIMEOUT_SECONDS = 2.0
-FIRST_BACKOFF_SECONDS = 0.1
-LONGEST_BACKOFF_SECONDS = 2.0
-MAXIMUM_PEERS = 2_048
-_CUT_POLL_SECONDS = 0.05
+MIN_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 2.0
+MAX_PEERS = 2_048
+_PARTITION_POLL_SECONDS = 0.05
 
 
 @dataclass
 class _Peer:
-    """Dial state of one peer; ``dialling`` is set while a task dials."""
+    """Connection state of one peer; ``dial_done`` is an event while a dial is in progress."""
 
     address: Address
     zone: str
     connection: Connection | None = None
-    dialling: Event | None = None
+    dial_done: Event | None = None
     failures: int = 0
     retry_at: float = 0.0
 
 
 class Dialer:
-    """Finds or opens the connection to a peer."""
+    """Keeps the outbound connections of a node."""
 
     def __init__(
         self, identity: LocalIdentity, address_book: AddressBook, link_policy: LinkPolicy
@@ -50,25 +50,26 @@
         self._address_book = address_book
         self._link_policy = link_policy
         self._peers: dict[str, _Peer] = {}
-        self._dials: set[gevent.Greenlet] = set()
+        self._dial_tasks: set[gevent.Greenlet] = set()
         self._stopped = False
 
     def connection(self, node_id: str, deadline: float) -> Connection:
-        """Return the connection to a peer, dialling if there is none.
+        """Return the connection to a peer, opening one if there is none.
 
         Raises:
-            RunkeelError: PEER_UNREACHABLE (NOT_RUN), at once while the peer is in backoff.
+            RunkeelError: PEER_UNREACHABLE or QUEUE_FULL, both NOT_RUN. Raised immediately while
+                the peer is in backoff.
         """
         while True:
             peer = self._peer(node_id)
             if peer.connection is not None:
                 return peer.connection
-            if peer.dialling is None:
+            if peer.dial_done is None:
                 self._start_dial(node_id, peer)
-            dialling = peer.dialling
+            dial_done = peer.dial_done
             failures = peer.failures
-            if not dialling.wait(max(0.0, deadline - steady_seconds())):
-                raise not_run(ErrorCode.PEER_UNREACHABLE, f"no connection to {node_id} in time")
+            if not dial_done.wait(max(0.0, deadline - steady_seconds())):
+                raise not_run(ErrorCode.PEER_UNREACHABLE, f"connecting to {node_id} timed out")
             if peer.connection is None and peer.failures > failures:
                 raise self._unreachable(node_id, peer)
 
@@ -76,50 +77,50 @@
         """Return the open connections."""
         return [peer.connection for peer in self._peers.values() if peer.connection is not None]
 
-    def end_backoff(self, node_id: str) -> None:
-        """Allow a dial at once: the peer has shown that it is alive."""
+    def reset_backoff(self, node_id: str) -> None:
+        """Allow an immediate dial, because the peer is known to be alive."""
         peer = self._peers.get(node_id)
         if peer is not None:
             peer.retry_at = 0.0
 
     def stop(self) -> None:
-        """Close all connections and end the dials."""
+        """Close all connections and cancel pending dials."""
         self._stopped = True
-        gevent.killall(list(self._dials), timeout=1.0)
+        gevent.killall(list(self._dial_tasks), timeout=1.0)
         for connection in self.connections():
-            connection.close("this node stops")
+            connection.close("this node is stopping")
 
     def _peer(self, node_id: str) -> _Peer:
-        known = self._address_book(node_id)
-        if known is None or self._stopped:
-            raise not_run(ErrorCode.PEER_UNREACHABLE, f"no address of {node_id}")
-        address, zone = known
+        entry = self._address_book(node_id)
+        if entry is None or self._stopped:
+            raise not_run(ErrorCode.PEER_UNREACHABLE, f"no address known for {node_id}")
+        address, zone = entry
         peer = self._peers.get(node_id)
         if peer is not None and (peer.address, peer.zone) == (address, zone):
             return peer
         if peer is not None and peer.connection is not None:
-            peer.connection.close("the peer has a new address")
-        self._make_room()
+            peer.connection.close("the address of the peer has changed")
+        self._evict_disconnected_peers()
         peer = _Peer(address, zone)
         self._peers[node_id] = peer
         return peer
 
-    def _make_room(self) -> None:
-        if len(self._peers) < MAXIMUM_PEERS:
+    def _evict_disconnected_peers(self) -> None:
+        if len(self._peers) < MAX_PEERS:
             return
         for node_id, peer in list(self._peers.items()):
-            if peer.connection is None and peer.dialling is None:
+            if peer.connection is None and peer.dial_done is None:
                 del self._peers[node_id]
-        if len(self._peers) >= MAXIMUM_PEERS:
-            raise not_run(ErrorCode.QUEUE_FULL, "too many peers")
+        if len(self._peers) >= MAX_PEERS:
+            raise not_run(ErrorCode.QUEUE_FULL, "too many connected peers")
 
     def _start_dial(self, node_id: str, peer: _Peer) -> None:
         if steady_seconds() < peer.retry_at:
             raise self._unreachable(node_id, peer)
-        peer.dialling = Event()
+        peer.dial_done = Event()
         task = gevent.spawn(self._dial, node_id, peer)
-        self._dials.add(task)
-        task.rawlink(self._dials.discard)
+        self._dial_tasks.add(task)
+        task.rawlink(self._dial_tasks.discard)
 
     def _unreachable(self, node_id: str, peer: _Peer) -> RunkeelError:
         retry_after = max(0.0, peer.retry_at - steady_seconds())
@@ -133,7 +134,7 @@
             metrics.DIAL_FAILURES.inc()
             self._back_off(peer)
         else:
-            # The address may have changed while the dial was under way.
+            # The address may have changed during the dial.
             if self._peers.get(node_id) is peer and not self._stopped:
                 peer.connection = connection
                 peer.failures = 0
@@ -141,19 +142,19 @@
             else:
                 connection.discard()
         finally:
-            dialling, peer.dialling = peer.dialling, None
-            dialling.set()
+            dial_done, peer.dial_done = peer.dial_done, None
+            dial_done.set()
 
     def _back_off(self, peer: _Peer) -> None:
-        backoff = min(LONGEST_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2 ** min(peer.failures, 10))
+        backoff = min(MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * 2 ** min(peer.failures, 10))
         peer.failures += 1
         peer.retry_at = steady_seconds() + backoff * random.uniform(0.5, 1.0)
 
     def _connect(self, node_id: str, peer: _Peer) -> Connection:
         policy = self._link_policy if peer.zone != self._identity.zone else None
         delay = 0.0
-        while policy is not None and policy.is_cut(peer.zone):
-            gevent.sleep(_CUT_POLL_SECONDS)
+        while policy is not None and policy.is_partitioned(peer.zone):
+            gevent.sleep(_PARTITION_POLL_SECONDS)
         if policy is not None:
             delay = policy.delay_seconds(peer.zone)
         sock = socket.create_connection((peer.address.host, peer.address.port))
--- a/src/runkeel/wire/frames.py
+++ b/src/runkeel/wire/frames.py
@@ -1,7 +1,7 @@
 """Frames of a peer connection: length, stream id, message type, body.
 
-The length (four bytes, big-endian) counts what follows it. Stream 0 belongs to the connection.
-Large bodies are compressed, as bytes between zones are dear; the message type then has a flag.
+The length (four bytes, big-endian) excludes itself. Stream 0 belongs to the connection. Large
+bodies are compressed to reduce traffic between zones; a flag in the message type marks them.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from runkeel.errors import ErrorCode, RunkeelError
-from runkeel.wire.codec import MAXIMUM_BODY_BYTES
+from runkeel.wire.codec import MAX_BODY_BYTES
 
 CONNECTION_STREAM = 0
 """Stream id of frames that concern the connection itself."""
@@ -20,11 +20,11 @@
 FINISH = 0
 """Message type that ends one direction of a stream; it has no body."""
 
-COMPRESSED = 0x8000
+COMPRESSED_FLAG = 0x8000
 """Flag in the message type of a frame whose body is compressed (zlib)."""
 
-COMPRESSION_BYTES = 512
-"""Bodies of this size or more are compressed."""
+MIN_COMPRESSED_BYTES = 512
+"""Smallest body that is compressed, in bytes."""
 
 _COMPRESSION_LEVEL = 1
 _HEADER = struct.Struct(">IQH")
@@ -42,26 +42,27 @@
 
 def encode_frame(stream_id: int, message_type: int, body: bytes) -> bytes:
     """Return a frame's bytes."""
-    if len(body) >= COMPRESSION_BYTES:
+    if len(body) >= MIN_COMPRESSED_BYTES:
         compressed = zlib.compress(body, _COMPRESSION_LEVEL)
         if len(compressed) < len(body):
-            message_type |= COMPRESSED
+            message_type |= COMPRESSED_FLAG
             body = compressed
     return _HEADER.pack(len(body) + _OVERHEAD_AFTER_LENGTH, stream_id, message_type) + body
 
 
 class FrameDecoder:
-    """Cuts a byte stream into frames."""
+    """Splits a byte stream into frames."""
 
-    def __init__(self, maximum_body_bytes: int = MAXIMUM_BODY_BYTES) -> None:
-        self.maximum_body_bytes = maximum_body_bytes
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self.max_body_bytes = max_body_bytes
         self._buffer = bytearray()
 
     def feed(self, chunk: bytes) -> Iterator[Frame]:
-        """Add received bytes and yield the frames that they complete.
+        """Append received bytes and yield the frames that are now complete.
 
         Raises:
-            RunkeelError: PROTOCOL_ERROR when a frame's length is out of range.
+            RunkeelError: PROTOCOL_ERROR when a frame's length is out of range or a compressed body
+                is invalid.
         """
         self._buffer += chunk
         offset = 0
@@ -74,8 +75,8 @@
                     break
                 body = bytes(self._buffer[offset + _HEADER.size : end])
                 offset = end
-                if message_type & COMPRESSED:
-                    message_type ^= COMPRESSED
+                if message_type & COMPRESSED_FLAG:
+                    message_type ^= COMPRESSED_FLAG
                     body = self._decompress(body)
                 yield Frame(stream_id, message_type, body)
         finally:
@@ -84,14 +85,16 @@
     def _decompress(self, body: bytes) -> bytes:
         decompressor = zlib.decompressobj()
         try:
-            plain = decompressor.decompress(body, self.maximum_body_bytes)
+            plain = decompressor.decompress(body, self.max_body_bytes)
         except zlib.error as error:
             raise RunkeelError(ErrorCode.PROTOCOL_ERROR, f"compressed body: {error}") from error
         if not decompressor.eof or decompressor.unused_data:
-            raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "compressed body is too large or cut off")
+            raise RunkeelError(
+                ErrorCode.PROTOCOL_ERROR, "compressed body is too large or truncated"
+            )
         return plain
 
     def _check_length(self, length: int) -> None:
         body_bytes = length - _OVERHEAD_AFTER_LENGTH
-        if not 0 <= body_bytes <= self.maximum_body_bytes:
+        if not 0 <= body_bytes <= self.max_body_bytes:
             raise RunkeelError(ErrorCode.PROTOCOL_ERROR, f"frame length {length} is out of range")
--- a/src/runkeel/wire/handlers.py
+++ b/src/runkeel/wire/handlers.py
@@ -1,4 +1,4 @@
-"""What this node serves to its peers: one task for each incoming call or stream."""
+"""Handlers of incoming calls and streams, each run in its own task."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from runkeel.wire.codec import decode, encode
 from runkeel.wire.streams import Stream
 
-MAXIMUM_RUNNING_HANDLERS = 4_096
-"""Handlers running at once at a node, for all its peers."""
+MAX_RUNNING_HANDLERS = 4_096
+"""Concurrent handlers of a node, over all its peers."""
 
-MAXIMUM_HANDLERS_PER_PEER = 1_024
-"""Handlers running at once for one peer, so that none takes the whole node."""
+MAX_HANDLERS_PER_PEER = 1_024
+"""Concurrent handlers for one peer, so that no peer uses up the node's limit."""
 
-_BUSY_RETRY_SECONDS = 0.2
+_BUSY_RETRY_AFTER_SECONDS = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 class HandlerRegistry:
-    """Runs the handler of each incoming stream, within limits."""
+    """Runs the handler of each incoming stream, within concurrency limits."""
 
     def __init__(self) -> None:
         self._registrations: dict[int, _Registration] = {}
@@ -42,7 +42,7 @@
     def on_call(
         self, message_type: int, request_class: type, handler: Callable[[str, Any], tuple[int, Any]]
     ) -> None:
-        """Register a handler that gives a reply's type and the reply; a task a call."""
+        """Register ``handler(peer_node_id, request) -> (reply type, reply)``."""
 
         def run(stream: Stream, request: Any) -> None:
             reply_type, reply = handler(stream.peer_node_id, request)
@@ -53,7 +53,7 @@
     def on_stream(
         self, message_type: int, request_class: type, handler: Callable[[Stream, Any], None]
     ) -> None:
-        """Register a handler of a stream and its first message; a task a stream."""
+        """Register ``handler(stream, first_message)``."""
 
         def run(stream: Stream, request: Any) -> None:
             handler(stream, request)
@@ -62,7 +62,7 @@
         self._registrations[message_type] = _Registration(request_class, run)
 
     def serve(self, stream: Stream, message_type: int, body: bytes) -> None:
-        """Start the handler for a new stream, or refuse it; never blocks."""
+        """Start the handler of a new stream, or reject the stream; never blocks."""
         registration = self._registrations.get(message_type)
         refusal = self._refusal(stream.peer_node_id, registration, message_type)
         if refusal is not None:
@@ -73,7 +73,7 @@
         self._running.start(gevent.Greenlet(self._run, stream, registration, body))
 
     def stop(self) -> None:
-        """Refuse new streams and end the running handlers."""
+        """Reject new streams and kill the running handlers."""
         self._stopped = True
         self._running.kill(timeout=1.0)
 
@@ -81,13 +81,15 @@
         self, peer: str, registration: _Registration | None, message_type: int
     ) -> RunkeelError | None:
         if self._stopped:
-            return not_run(ErrorCode.NODE_LEAVING, "the node has stopped serving its peers")
+            return not_run(ErrorCode.NODE_LEAVING, "the node is stopping")
         if registration is None:
-            return not_run(ErrorCode.PROTOCOL_ERROR, f"message type {message_type} is not served")
-        of_peer = self._running_by_peer.get(peer, 0)
-        if of_peer >= MAXIMUM_HANDLERS_PER_PEER or len(self._running) >= MAXIMUM_RUNNING_HANDLERS:
+            return not_run(ErrorCode.PROTOCOL_ERROR, f"no handler for message type {message_type}")
+        running_for_peer = self._running_by_peer.get(peer, 0)
+        if running_for_peer >= MAX_HANDLERS_PER_PEER or len(self._running) >= MAX_RUNNING_HANDLERS:
             metrics.STREAMS_REFUSED.inc()
-            return not_run(ErrorCode.QUEUE_FULL, "too many streams", _BUSY_RETRY_SECONDS)
+            return not_run(
+                ErrorCode.QUEUE_FULL, "too many concurrent streams", _BUSY_RETRY_AFTER_SECONDS
+            )
         return None
 
     def _run(self, stream: Stream, registration: _Registration, body: bytes) -> None:
@@ -101,7 +103,7 @@
             stream.fail(may_have_run(ErrorCode.INTERNAL, type(error).__name__))
         finally:
             stream.release()
-            self._count_down(stream.peer_node_id)
+            self._decrement_running(stream.peer_node_id)
 
     def _run_handler(self, stream: Stream, registration: _Registration, body: bytes) -> None:
         try:
@@ -110,7 +112,7 @@
             raise not_run(error.code, error.detail) from error
         registration.run(stream, request)
 
-    def _count_down(self, peer: str) -> None:
+    def _decrement_running(self, peer: str) -> None:
         remaining = self._running_by_peer[peer] - 1
         if remaining:
             self._running_by_peer[peer] = remaining
--- a/src/runkeel/wire/handshake.py
+++ b/src/runkeel/wire/handshake.py
@@ -1,9 +1,9 @@
-"""Mutual authentication of peers by a challenge and the cluster key.
+"""Mutual challenge-response authentication of peers with the shared cluster key.
 
-The dialling side sends its Hello first and its proof before the accepting side's proof, so
-that the accepting side never computes a proof for a stranger. A proof covers the prover's role,
-both challenges and both node ids, so none can be reflected or moved to another connection.
-What follows the handshake is neither encrypted nor signed.
+The dialing side proves first, so that the accepting side never computes a proof for an
+unauthenticated peer. A proof is an HMAC over the prover's role, the cluster name, both challenges
+and both node ids, so it cannot be reflected or replayed on another connection. Traffic after the
+handshake is neither encrypted nor signed.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 PROTOCOL_VERSION = 2
 CHALLENGE_BYTES = 16
-MAXIMUM_HANDSHAKE_BODY_BYTES = 4_096
+MAX_HANDSHAKE_BODY_BYTES = 4_096
 _DIALER_ROLE = b"dialer"
 _ACCEPTOR_ROLE = b"acceptor"
 
 
 @dataclass(frozen=True, slots=True)
 class LocalIdentity:
-    """What this node tells its peers, and the key that it proves to hold."""
+    """What this node reports to its peers in the handshake, and the cluster key."""
 
     cluster_name: str
     cluster_key: bytes
@@ -38,7 +38,7 @@
     incarnation: int
 
     def hello(self) -> Hello:
-        """Return a Hello with a fresh challenge."""
+        """Return a Hello with a new random challenge."""
         return Hello(
             PROTOCOL_VERSION,
             self.cluster_name,
@@ -50,15 +50,15 @@
 
 
 class HandshakeSocket:
-    """Reads and writes single small frames, with the emulated delay of the link."""
+    """Sends and receives the handshake's frames, with the emulated delay of the link."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._socket = connection
-        self._decoder = FrameDecoder(MAXIMUM_HANDSHAKE_BODY_BYTES)
+        self._decoder = FrameDecoder(MAX_HANDSHAKE_BODY_BYTES)
         self._frames: list = []
 
     def send(self, message_type: int, message: object, delay_seconds: float = 0.0) -> None:
-        """Send one message after the link's delay."""
+        """Send one message after a delay."""
         if delay_seconds:
             gevent.sleep(delay_seconds)
         self._socket.sendall(encode_frame(CONNECTION_STREAM, message_type, encode(message)))
@@ -66,62 +66,64 @@
     def receive(self, message_type: int, message_class: type) -> object:
         """Return the next message, which must be of the given type."""
         while not self._frames:
-            # Reads nothing past the handshake: neither side sends more until it has verified
+            # Never reads past the handshake: each side sends nothing else before it has verified
             # the other's proof, and the accepting side opens no streams.
-            chunk = self._socket.recv(MAXIMUM_HANDSHAKE_BODY_BYTES)
+            chunk = self._socket.recv(MAX_HANDSHAKE_BODY_BYTES)
             if not chunk:
-                raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "closed during the handshake")
+                raise RunkeelError(
+                    ErrorCode.PROTOCOL_ERROR, "connection closed during the handshake"
+                )
             self._frames.extend(self._decoder.feed(chunk))
         frame = self._frames.pop(0)
         if frame.stream_id != CONNECTION_STREAM or frame.message_type != message_type:
-            raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "unexpected frame in the handshake")
+            raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "unexpected frame during the handshake")
         return decode(message_class, frame.body)
 
 
 def dial_handshake(
     link: HandshakeSocket, identity: LocalIdentity, expected_node_id: str, delay_seconds: float
 ) -> Hello:
-    """Run the dialling side; return the peer's Hello.
+    """Run the dialing side; return the peer's Hello.
 
     Raises:
-        RunkeelError: PROTOCOL_ERROR when the peer is another node or can't prove the key.
+        RunkeelError: PROTOCOL_ERROR when the peer is another node or fails authentication.
     """
-    mine = identity.hello()
-    link.send(MessageType.HELLO, mine, delay_seconds)
-    theirs = link.receive(MessageType.HELLO, Hello)
-    check_hello(theirs, identity)
-    if theirs.node_id != expected_node_id:
-        raise RunkeelError(ErrorCode.PROTOCOL_ERROR, f"the peer is {theirs.node_id!r}")
-    proof = make_proof(identity.cluster_key, _DIALER_ROLE, mine, theirs)
+    own_hello = identity.hello()
+    link.send(MessageType.HELLO, own_hello, delay_seconds)
+    peer_hello = link.receive(MessageType.HELLO, Hello)
+    check_hello(peer_hello, identity)
+    if peer_hello.node_id != expected_node_id:
+        raise RunkeelError(ErrorCode.PROTOCOL_ERROR, f"unexpected peer {peer_hello.node_id!r}")
+    proof = make_proof(identity.cluster_key, _DIALER_ROLE, own_hello, peer_hello)
     link.send(MessageType.HELLO_PROOF, HelloProof(proof), delay_seconds)
-    _check_proof(link, identity, _ACCEPTOR_ROLE, theirs, mine)
-    return theirs
+    _check_proof(link, identity, _ACCEPTOR_ROLE, peer_hello, own_hello)
+    return peer_hello
 
 
 def receive_hello(link: HandshakeSocket, identity: LocalIdentity) -> Hello:
-    """Receive and check the Hello of a dialling peer."""
-    theirs = link.receive(MessageType.HELLO, Hello)
-    check_hello(theirs, identity)
-    return theirs
+    """Receive and check the Hello of a dialing peer."""
+    peer_hello = link.receive(MessageType.HELLO, Hello)
+    check_hello(peer_hello, identity)
+    return peer_hello
 
 
 def accept_handshake(
-    link: HandshakeSocket, identity: LocalIdentity, theirs: Hello, delay_seconds: float
+    link: HandshakeSocket, identity: LocalIdentity, peer_hello: Hello, delay_seconds: float
 ) -> None:
     """Run the accepting side after the peer's Hello.
 
     Raises:
-        RunkeelError: PROTOCOL_ERROR when the peer can't prove the key.
+        RunkeelError: PROTOCOL_ERROR when the peer fails authentication.
     """
-    mine = identity.hello()
-    link.send(MessageType.HELLO, mine, delay_seconds)
-    _check_proof(link, identity, _DIALER_ROLE, theirs, mine)
-    proof = make_proof(identity.cluster_key, _ACCEPTOR_ROLE, mine, theirs)
+    own_hello = identity.hello()
+    link.send(MessageType.HELLO, own_hello, delay_seconds)
+    _check_proof(link, identity, _DIALER_ROLE, peer_hello, own_hello)
+    proof = make_proof(identity.cluster_key, _ACCEPTOR_ROLE, own_hello, peer_hello)
     link.send(MessageType.HELLO_PROOF, HelloProof(proof), delay_seconds)
 
 
 def make_proof(cluster_key: bytes, role: bytes, prover: Hello, verifier: Hello) -> bytes:
-    """Return the prover's proof for the verifier's challenge."""
+    """Return the HMAC with which ``prover`` answers the challenge of ``verifier``."""
     parts = (
         role,
         prover.cluster.encode(),
@@ -134,19 +136,21 @@
     return hmac.digest(cluster_key, message, "sha256")
 
 
-def check_hello(theirs: Hello, identity: LocalIdentity) -> None:
-    """Raise PROTOCOL_ERROR unless the Hello is whole and of another node of this cluster."""
-    whole = (
-        isinstance(theirs.node_id, str)
-        and isinstance(theirs.zone, str)
-        and isinstance(theirs.incarnation, int)
-        and isinstance(theirs.challenge, bytes)
-        and len(theirs.challenge) == CHALLENGE_BYTES
+def check_hello(peer_hello: Hello, identity: LocalIdentity) -> None:
+    """Raise PROTOCOL_ERROR unless the Hello is valid and from another node of this cluster."""
+    well_formed = (
+        isinstance(peer_hello.node_id, str)
+        and isinstance(peer_hello.zone, str)
+        and isinstance(peer_hello.incarnation, int)
+        and isinstance(peer_hello.challenge, bytes)
+        and len(peer_hello.challenge) == CHALLENGE_BYTES
     )
-    if not whole or theirs.protocol_version != PROTOCOL_VERSION:
-        raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "malformed hello or unknown version")
-    if theirs.cluster != identity.cluster_name or theirs.node_id == identity.node_id:
-        raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "hello of another cluster or of this node")
+    if not well_formed or peer_hello.protocol_version != PROTOCOL_VERSION:
+        raise RunkeelError(
+            ErrorCode.PROTOCOL_ERROR, "malformed hello or unsupported protocol version"
+        )
+    if peer_hello.cluster != identity.cluster_name or peer_hello.node_id == identity.node_id:
+        raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "hello from another cluster or from this node")
 
 
 def _check_proof(
@@ -155,4 +159,6 @@
     received = link.receive(MessageType.HELLO_PROOF, HelloProof)
     expected = make_proof(identity.cluster_key, role, prover, verifier)
     if not isinstance(received.proof, bytes) or not hmac.compare_digest(received.proof, expected):
-        raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "the peer does not hold the cluster key")
+        raise RunkeelError(
+            ErrorCode.PROTOCOL_ERROR, "the peer failed authentication with the cluster key"
+        )
--- a/src/runkeel/wire/links.py
+++ b/src/runkeel/wire/links.py
@@ -1,20 +1,20 @@
-"""Emulation of the links between zones; the default leaves traffic alone."""
+"""Emulated delays and partitions between zones; the default policy has neither."""
 
 from __future__ import annotations
 
 
 class LinkPolicy:
-    """How traffic between this node and another zone is treated.
+    """Delay and partition of the link between this node and each other zone.
 
-    A cut link passes nothing in either direction: connections stall and datagrams are dropped.
-    Frames and datagrams to another zone are delivered after the delay, in order, and without
-    holding up traffic to other zones.
+    A partitioned link passes no traffic in either direction: connections stall and datagrams are
+    dropped. Frames and datagrams to another zone are delivered in order after the delay, without
+    delaying traffic to other zones.
     """
 
     def delay_seconds(self, zone: str) -> float:
-        """Return the one-way delay added to traffic sent to ``zone``."""
+        """Return the one-way delay added to traffic to ``zone``, in seconds."""
         return 0.0
 
-    def is_cut(self, zone: str) -> bool:
-        """Return whether the link between this node and ``zone`` is cut."""
+    def is_partitioned(self, zone: str) -> bool:
+        """Return whether the link between this node and ``zone`` is partitioned."""
         return False
--- a/src/runkeel/wire/local.py
+++ b/src/runkeel/wire/local.py
@@ -1,4 +1,4 @@
-"""Streams of a node to itself, without a socket."""
+"""Streams from a node to its own handlers, without a socket."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 
 class LocalSink:
-    """Hands the frames of one end directly to the other. Implements FrameSink."""
+    """Delivers the frames of one end directly to the other. Implements FrameSink."""
 
     def __init__(self) -> None:
-        self._other: Stream | None = None
+        self._peer_end: Stream | None = None
 
     def connect(self, other: Stream) -> None:
-        """Set the stream that receives what is written here."""
-        self._other = other
+        """Set the stream that receives the frames written to this sink."""
+        self._peer_end = other
 
     def write(self, stream: Stream, message_type: int, body: bytes) -> None:
-        """Deliver a frame; the credit of the stream bounds what waits."""
-        if self._other is not None:
-            self._other.deliver(message_type, body)
+        """Deliver a frame; the stream's credit bounds how many stay unread."""
+        if self._peer_end is not None:
+            self._peer_end.deliver(message_type, body)
 
     def write_control(self, stream: Stream, message_type: int, body: bytes) -> None:
         """Deliver a control frame."""
         self.write(stream, message_type, body)
 
-    def forget(self, stream: Stream) -> None:
-        """Do nothing: an end that is over ignores what it is still sent."""
+    def remove_stream(self, stream: Stream) -> None:
+        """Do nothing: a finished end ignores frames that still arrive."""
 
 
 def open_local_stream(
@@ -36,7 +36,7 @@
     caller_sink, handler_sink = LocalSink(), LocalSink()
     caller = Stream(caller_sink, 1, node_id)
     handler = Stream(handler_sink, 1, node_id)
-    caller.handed = handler.handed = True
+    caller.opening_sent = handler.opening_sent = True
     caller_sink.connect(handler)
     handler_sink.connect(caller)
     registry.serve(handler, message_type, body)
--- a/src/runkeel/wire/network.py
+++ b/src/runkeel/wire/network.py
@@ -28,24 +28,24 @@
 from runkeel.wire.local import open_local_stream
 from runkeel.wire.streams import Stream
 
-MAXIMUM_ACCEPTED_CONNECTIONS = 2_048
-MAXIMUM_PENDING_HANDSHAKES = 64
+MAX_ACCEPTED_CONNECTIONS = 2_048
+MAX_PENDING_HANDSHAKES = 64
 HANDSHAKE_TIMEOUT_SECONDS = 2.0
 CHECK_INTERVAL_SECONDS = 0.25
 LISTEN_BACKLOG = 256
-_PAUSE_SECONDS = 1.0
+_MAX_CHECK_DELAY_SECONDS = 1.0
 _ACCEPT_RETRY_SECONDS = 0.5
-_CUT_POLL_SECONDS = 0.05
+_PARTITION_POLL_SECONDS = 0.05
 
 
 class PeerNetwork:
-    """A node's connections to its peers: calls, streams, and who handles them.
+    """A node's connections to its peers, the calls and streams on them, and their handlers.
 
     Args:
         cluster_key: secret shared by the cluster's nodes; must not be empty.
         listen_address: port 0 lets the kernel choose; see :attr:`address`.
-        address_book: asked at each call, so that moved nodes are found.
-        link_policy: emulates delays and cuts between zones.
+        address_book: queried for every call, so that address changes take effect.
+        link_policy: emulates delays and partitions between zones.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         link_policy: LinkPolicy | None = None,
     ) -> None:
         if not cluster_key:
-            raise ValueError("the cluster key is empty")
+            raise ValueError("cluster_key must not be empty")
         self._identity = LocalIdentity(cluster_name, cluster_key, node_id, zone, incarnation)
         self._link_policy = link_policy or LinkPolicy()
         self._registry = HandlerRegistry()
@@ -83,7 +83,7 @@
         """Listen for peers. Raises OSError when the address can't be bound."""
         address = (self._listen_address.host, self._listen_address.port)
         self._listener = socket.create_server(address, backlog=LISTEN_BACKLOG)
-        self._tasks = [gevent.spawn(self._accept_peers), gevent.spawn(self._check_connections)]
+        self._tasks = [gevent.spawn(self._accept_loop), gevent.spawn(self._check_connections)]
 
     def stop(self) -> None:
         """Stop listening, end the handlers and close all connections."""
@@ -93,14 +93,14 @@
         self._registry.stop()
         self._dialer.stop()
         for connection in list(self._accepted):
-            connection.close("this node stops")
+            connection.close("this node is stopping")
 
     def on_call(
         self, message_type: int, request_class: type, handler: Callable[[str, Any], tuple[int, Any]]
     ) -> None:
-        """Register ``handler(peer_node_id, request) -> (reply type, reply)``; a task a call.
+        """Register ``handler(peer_node_id, request) -> (reply type, reply)``, run in its own task.
 
-        A call whose caller has given up still runs to its end; its reply is dropped.
+        The handler runs to completion even if the caller cancels; its reply is then discarded.
         """
         self._registry.on_call(message_type, request_class, handler)
 
@@ -118,21 +118,23 @@
         reply_class: type,
         timeout_seconds: float,
     ) -> Any:
-        """Send one message and return the one reply.
+        """Send a request and return its reply.
 
         Raises:
-            RunkeelError: PEER_UNREACHABLE (NOT_RUN: no byte was sent), PEER_LOST or
+            RunkeelError: PEER_UNREACHABLE (NOT_RUN: nothing was sent), PEER_LOST or
                 DEADLINE_EXCEEDED (MAY_HAVE_RUN), or the error that the peer reported.
         """
         deadline = steady_seconds() + timeout_seconds
-        stream = self._open(node_id, message_type, message, deadline)
+        stream = self._open_to(node_id, message_type, message, deadline)
         try:
             reply_type, body = stream.receive(deadline - steady_seconds())
         except BaseException as error:
             timed_out = isinstance(error, RunkeelError) and not stream.cancelled
             stream.cancel()
             if timed_out and stream.withdrawn:
-                raise not_run(ErrorCode.DEADLINE_EXCEEDED, "withdrawn before it was sent") from None
+                raise not_run(
+                    ErrorCode.DEADLINE_EXCEEDED, "timed out before the request was sent"
+                ) from None
             raise
         stream.release()
         if reply_type == FINISH:
@@ -141,9 +143,11 @@
 
     def open_stream(self, node_id: str, message_type: int, message: Any) -> Stream:
         """Open a stream with its first message. Raises like :meth:`call`."""
-        return self._open(node_id, message_type, message, steady_seconds() + DIAL_TIMEOUT_SECONDS)
+        return self._open_to(
+            node_id, message_type, message, steady_seconds() + DIAL_TIMEOUT_SECONDS
+        )
 
-    def _open(self, node_id: str, message_type: int, message: Any, deadline: float) -> Stream:
+    def _open_to(self, node_id: str, message_type: int, message: Any, deadline: float) -> Stream:
         try:
             body = encode(message)
         except RunkeelError as error:
@@ -152,20 +156,20 @@
             return open_local_stream(self._registry, node_id, message_type, body)
         return self._dialer.connection(node_id, deadline).open_stream(message_type, body)
 
-    def _accept_peers(self) -> None:
+    def _accept_loop(self) -> None:
         while True:
             try:
                 sock, address = self._listener.accept()
             except OSError as error:
-                # Such as too many open files: those in use must be closed first.
-                logger.warning("can't accept peers: {}", error, code="accept_failed")
+                # For example EMFILE: retry once other descriptors have been closed.
+                logger.warning("accepting peer connections failed: {}", error, code="accept_failed")
                 gevent.sleep(_ACCEPT_RETRY_SECONDS)
                 continue
             self._start_handshake(sock, address)
 
     def _start_handshake(self, sock: socket.socket, address: tuple) -> None:
-        busy = len(self._handshakes) >= MAXIMUM_PENDING_HANDSHAKES
-        if busy or len(self._accepted) >= MAXIMUM_ACCEPTED_CONNECTIONS:
+        too_many_handshakes = len(self._handshakes) >= MAX_PENDING_HANDSHAKES
+        if too_many_handshakes or len(self._accepted) >= MAX_ACCEPTED_CONNECTIONS:
             metrics.HANDSHAKES_REFUSED.labels("limit").inc()
             sock.close()
             return
@@ -180,7 +184,9 @@
                 connection = self._authenticate(sock)
         except (OSError, RunkeelError, gevent.Timeout) as error:
             metrics.HANDSHAKES_REFUSED.labels("failed").inc()
-            logger.debug("peer refused: {}", error, code=ErrorCode.PROTOCOL_ERROR, peer=address)
+            logger.debug(
+                "peer handshake failed: {}", error, code=ErrorCode.PROTOCOL_ERROR, peer=address
+            )
             sock.close()
             return
         except BaseException:
@@ -188,15 +194,15 @@
             raise
         self._accepted.add(connection)
         connection.start()
-        self._dialer.end_backoff(connection.peer_node_id)
+        self._dialer.reset_backoff(connection.peer_node_id)
 
     def _authenticate(self, sock: socket.socket) -> Connection:
         link = HandshakeSocket(sock)
         hello = receive_hello(link, self._identity)
         policy = self._link_policy if hello.zone != self._identity.zone else None
         delay = 0.0
-        while policy is not None and policy.is_cut(hello.zone):
-            gevent.sleep(_CUT_POLL_SECONDS)
+        while policy is not None and policy.is_partitioned(hello.zone):
+            gevent.sleep(_PARTITION_POLL_SECONDS)
         if policy is not None:
             delay = policy.delay_seconds(hello.zone)
         accept_handshake(link, self._identity, hello, delay)
@@ -205,15 +211,15 @@
         )
 
     def _check_connections(self) -> None:
-        """Probe silent peers, unless it was this process that stood still."""
+        """Check all connections periodically; a pause of this process counts against no peer."""
         last = steady_seconds()
         while True:
             gevent.sleep(CHECK_INTERVAL_SECONDS)
             now = steady_seconds()
-            paused = now - last > CHECK_INTERVAL_SECONDS + _PAUSE_SECONDS
+            paused = now - last > CHECK_INTERVAL_SECONDS + _MAX_CHECK_DELAY_SECONDS
             last = now
             for connection in [*self._accepted, *self._dialer.connections()]:
                 if paused:
-                    connection.forgive(now)
+                    connection.restart_peer_timeout(now)
                 else:
-                    connection.check(now)
+                    connection.check_liveness(now)
--- a/src/runkeel/wire/streams.py
+++ b/src/runkeel/wire/streams.py
@@ -1,9 +1,9 @@
 """Streams of messages between two nodes, with credit-based flow control.
 
-Each direction of a stream starts with :data:`WINDOW_CREDIT`. A frame costs one, and one more for
-each 16 KiB of its body; the receiver returns the credit of what its application has taken. A
-receiver that does not read thus holds up its own stream only, never the connection. The opening
-frame is free: the number of streams bounds it.
+Each direction of a stream starts with :data:`WINDOW_CREDIT`. A frame costs one credit plus one for
+each full 16 KiB of its body. The receiver returns credit as the application consumes messages, so a
+slow receiver blocks only its own stream and not the connection. Opening frames cost no credit: the
+limit on streams bounds them.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 WINDOW_CREDIT = 64
 CREDIT_UNIT_BYTES = 16 * 1024
 SEND_TIMEOUT_SECONDS = 60.0
-"""Longest wait for a receiver that is alive but does not read."""
+"""Longest time that a send waits for the receiver to grant credit."""
 
 
 class FrameSink(Protocol):
-    """Where a stream writes its frames."""
+    """Destination of the frames that a stream writes."""
 
     def write(self, stream: Stream, message_type: int, body: bytes) -> None:
-        """Queue an application frame; blocks while too much is queued. Raises RunkeelError."""
+        """Queue an application frame; blocks while the send queue is full. Raises RunkeelError."""
 
     def write_control(self, stream: Stream, message_type: int, body: bytes) -> None:
-        """Queue a control frame; never blocks, and does nothing when the connection is gone."""
+        """Queue a control frame; never blocks; does nothing when the connection is closed."""
 
-    def forget(self, stream: Stream) -> None:
-        """Drop the stream from the connection's table."""
+    def remove_stream(self, stream: Stream) -> None:
+        """Remove a finished stream from the connection."""
 
 
 def frame_cost(body: bytes) -> int:
@@ -48,15 +48,15 @@
     """One end of a stream.
 
     Attributes:
-        handed: the opening frame has been given to the kernel (or to the local handler), so
-            the peer may act on it.
-        withdrawn: given up before the opening frame was handed over; no frame will leave.
+        opening_sent: the opening frame was passed to the kernel (or to the local handler), so the
+            peer may act on it.
+        withdrawn: the stream ended before its opening frame was sent; no frame will be sent.
     """
 
     __slots__ = (
         "peer_node_id",
         "stream_id",
-        "handed",
+        "opening_sent",
         "withdrawn",
         "_sink",
         "_send_credit",
@@ -73,7 +73,7 @@
     def __init__(self, sink: FrameSink, stream_id: int, peer_node_id: str) -> None:
         self.peer_node_id = peer_node_id
         self.stream_id = stream_id
-        self.handed = False
+        self.opening_sent = False
         self.withdrawn = False
         self._sink = sink
         self._send_credit = WINDOW_CREDIT
@@ -88,18 +88,18 @@
 
     @property
     def cancelled(self) -> bool:
-        """Whether the peer has cancelled or is gone, or this side has cancelled."""
+        """Whether either side cancelled the stream or it ended with an error."""
         return self._send_error is not None
 
     def send(self, message_type: int, message: Any) -> None:
-        """Send a message; blocks while the receiver grants no credit. Raises RunkeelError."""
+        """Send a message; blocks until the receiver grants credit. Raises RunkeelError."""
         body = encode(message)
         self._wait_for_credit()
         self._send_credit -= frame_cost(body)
         self._sink.write(self, message_type, body)
 
     def receive(self, timeout_seconds: float | None = None) -> tuple[int, bytes]:
-        """Return the next message's type and body; ``(0, b"")`` at the end. Raises RunkeelError."""
+        """Return the next message's type and body, ``(0, b"")`` at the end. Raises RunkeelError."""
         deadline = None if timeout_seconds is None else steady_seconds() + timeout_seconds
         while not self._inbox:
             if self._receive_error is not None:
@@ -113,20 +113,20 @@
         return message_type, body
 
     def finish(self) -> None:
-        """End this side's stream normally."""
+        """End the sending direction normally."""
         if self._local_finished or self._send_error is not None:
             return
         self._local_finished = True
         self._sink.write_control(self, FINISH, b"")
-        self._forget_if_over()
+        self._remove_if_finished()
 
     def cancel(self) -> None:
-        """Give up on the stream; the other side's calls raise CANCELLED."""
-        over = self._local_finished and self._remote_finished
-        if self._send_error is not None or over:
+        """Cancel the stream; the peer's sends and receives raise CANCELLED."""
+        ended = self._local_finished and self._remote_finished
+        if self._send_error is not None or ended:
             return
         error = may_have_run(ErrorCode.CANCELLED, "cancelled by this side")
-        if self.handed:
+        if self.opening_sent:
             self._sink.write_control(self, MessageType.CANCEL, b"")
         else:
             self.withdrawn = True
@@ -143,7 +143,7 @@
         self._end(error)
 
     def reply(self, message_type: int, body: bytes) -> None:
-        """Send the one reply of a call, which ends the stream on both sides."""
+        """Send the only reply of a call, which ends the stream on both sides."""
         if self._send_error is None:
             self._sink.write(self, message_type, body)
 
@@ -151,22 +151,22 @@
         """End both directions after the handler has returned."""
         self.finish()
         if not self._remote_finished and self._send_error is None:
-            # The peer may be waiting for credit that nobody will grant any more.
+            # Unblocks a peer that waits for credit, which no one will grant any more.
             self._sink.write_control(self, MessageType.CANCEL, b"")
-            self._end(may_have_run(ErrorCode.CANCELLED, "the handler has returned"))
+            self._end(may_have_run(ErrorCode.CANCELLED, "the stream handler has returned"))
 
     def release(self) -> None:
-        """Forget the stream without a word to the peer, for which it is over."""
-        self._sink.forget(self)
+        """Remove the stream without notifying the peer, where it has ended already."""
+        self._sink.remove_stream(self)
 
     def deliver(self, message_type: int, body: bytes) -> None:
-        """Take a frame from the peer; called by the connection's reader, never blocks."""
+        """Process a frame from the peer; called by the connection's reader, never blocks."""
         if message_type == MessageType.WINDOW:
-            self._grant(decode(WindowUpdate, body).credit)
+            self._add_send_credit(decode(WindowUpdate, body).credit)
         elif message_type == FINISH:
             self._remote_finished = True
             self._changed.set()
-            self._forget_if_over()
+            self._remove_if_finished()
         elif message_type == MessageType.CANCEL:
             self._on_cancel()
         elif message_type == MessageType.ERROR:
@@ -174,32 +174,34 @@
         else:
             self._on_message(message_type, body)
 
-    def lose(self) -> None:
+    def on_connection_lost(self) -> None:
         """End the stream because its connection has failed."""
-        if self.handed:
-            self._end(may_have_run(ErrorCode.PEER_LOST, f"lost {self.peer_node_id}"))
+        if self.opening_sent:
+            self._end(may_have_run(ErrorCode.PEER_LOST, f"connection to {self.peer_node_id} lost"))
         else:
             self.withdrawn = True
-            detail = f"lost {self.peer_node_id} before anything was sent"
+            detail = f"connection to {self.peer_node_id} lost before the stream was opened"
             self._end(not_run(ErrorCode.PEER_UNREACHABLE, detail))
 
     def _on_message(self, message_type: int, body: bytes) -> None:
         if self._remote_finished or self._receive_error is not None:
             return
         self._receive_credit -= frame_cost(body)
-        # The sender may overdraw its credit by the last frame, and by no more.
+        # A sender with positive credit may send one frame that costs more than it has left.
         if self._receive_credit + frame_cost(body) <= 0:
-            raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "the peer exceeded its credit")
+            raise RunkeelError(
+                ErrorCode.PROTOCOL_ERROR, "the peer exceeded its flow-control credit"
+            )
         self._inbox.append((message_type, body))
         self._changed.set()
 
     def _on_cancel(self) -> None:
         error = may_have_run(ErrorCode.CANCELLED, f"cancelled by {self.peer_node_id}")
         if self._remote_finished:
-            # The handler has returned: what it sent may still be read, nothing more be sent.
+            # The peer's handler has returned: received messages stay readable, sending fails.
             self._send_error = self._send_error or error
             self._changed.set()
-            self._sink.forget(self)
+            self._sink.remove_stream(self)
             return
         self._inbox.clear()
         self._end(error)
@@ -210,22 +212,22 @@
         if self._receive_error is None and not self._remote_finished:
             self._receive_error = error
         self._changed.set()
-        self._sink.forget(self)
+        self._sink.remove_stream(self)
 
-    def _forget_if_over(self) -> None:
+    def _remove_if_finished(self) -> None:
         if self._local_finished and self._remote_finished:
-            self._sink.forget(self)
+            self._sink.remove_stream(self)
 
-    def _grant(self, credit: int) -> None:
-        if not isinstance(credit, int) or not 0 < credit <= WINDOW_CREDIT * 2 + _LARGEST_COST:
-            raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "credit out of range")
+    def _add_send_credit(self, credit: int) -> None:
+        if not isinstance(credit, int) or not 0 < credit <= WINDOW_CREDIT * 2 + _MAX_FRAME_COST:
+            raise RunkeelError(ErrorCode.PROTOCOL_ERROR, "flow-control credit out of range")
         self._send_credit += credit
         self._changed.set()
 
     def _return_credit(self, credit: int) -> None:
         self._credit_to_return += credit
-        over = self._remote_finished or self._send_error is not None
-        if over or self._credit_to_return < WINDOW_CREDIT // 2:
+        ended = self._remote_finished or self._send_error is not None
+        if ended or self._credit_to_return < WINDOW_CREDIT // 2:
             return
         update = WindowUpdate(self._credit_to_return)
         self._receive_credit += self._credit_to_return
@@ -236,11 +238,13 @@
         deadline = steady_seconds() + SEND_TIMEOUT_SECONDS
         while self._send_error is None and self._send_credit <= 0:
             if not self._wait_for_change(deadline):
-                raise may_have_run(ErrorCode.DEADLINE_EXCEEDED, "the peer does not read")
+                raise may_have_run(
+                    ErrorCode.DEADLINE_EXCEEDED, "the peer granted no credit in time"
+                )
         if self._send_error is not None:
             raise dataclasses.replace(self._send_error)
         if self._local_finished:
-            raise RunkeelError(ErrorCode.INTERNAL, "send after finish")
+            raise RunkeelError(ErrorCode.INTERNAL, "send on a finished stream")
 
     def _wait_for_change(self, deadline: float | None) -> bool:
         self._changed.clear()
@@ -250,7 +254,7 @@
         return remaining > 0 and self._changed.wait(remaining)
 
 
-_LARGEST_COST = 1 + 16 * 1024 * 1024 // CREDIT_UNIT_BYTES
+_MAX_FRAME_COST = 1 + 16 * 1024 * 1024 // CREDIT_UNIT_BYTES
 
 
 def error_report(error: RunkeelError) -> ErrorReport:
@@ -262,7 +266,7 @@
 
 
 def error_from_report(report: ErrorReport) -> RunkeelError:
-    """Return the error that a peer reported; what is unknown here becomes INTERNAL."""
+    """Return the error that a peer reported; unknown codes become INTERNAL."""
     try:
         code = ErrorCode(report.code)
     except ValueError:
--- a/tests/wire/cluster.py
+++ b/tests/wire/cluster.py
@@ -1,4 +1,4 @@
-"""A pair of networks for the tests of the peer wire."""
+"""Fixtures for tests of connections between nodes."""
 
 import unittest
 
@@ -15,23 +15,23 @@
 CHUNK = 103
 
 
-class CutPolicy(LinkPolicy):
-    """Delays and cuts that a test sets."""
+class ScriptedLinkPolicy(LinkPolicy):
+    """A link policy whose delay and partition the test sets."""
 
     def __init__(self):
-        self.cut = False
+        self.partitioned = False
         self.delay = 0.0
 
     def delay_seconds(self, zone):
         return self.delay
 
-    def is_cut(self, zone):
-        return self.cut
+    def is_partitioned(self, zone):
+        return self.partitioned
 
 
 class NetworkTestCase(unittest.TestCase):
     def setUp(self):
-        self.book = {}
+        self.addresses = {}
         self.networks = []
 
     def tearDown(self):
@@ -40,10 +40,10 @@
 
     def network(self, node_id, zone="zone-1", key=b"key", policy=None, address=None):
         listen = address or Address("127.0.0.1", 0)
-        network = PeerNetwork(node_id, zone, "test", key, 1, listen, self.book.get, policy)
+        network = PeerNetwork(node_id, zone, "test", key, 1, listen, self.addresses.get, policy)
         network.start()
         self.networks.append(network)
-        self.book[node_id] = (network.address, zone)
+        self.addresses[node_id] = (network.address, zone)
         return network
 
     def wait_until(self, condition, seconds=5.0):
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -33,11 +33,11 @@
             ItemScorer("id", "host", "/", "Ym9keQ=="),
         )
         whole = encode(request)
-        chance = random.Random(1)
+        rng = random.Random(1)
         for _ in range(2_000):
             damaged = bytearray(whole)
             for _ in range(3):
-                damaged[chance.randrange(len(damaged))] = chance.randrange(256)
+                damaged[rng.randrange(len(damaged))] = rng.randrange(256)
             try:
                 decode(ItemRunStart, bytes(damaged))
             except RunkeelError as error:
--- a/tests/wire/test_network.py
+++ b/tests/wire/test_network.py
@@ -7,7 +7,7 @@
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 from runkeel.wire.codec import decode
 from runkeel.wire.generated.common.ttypes import HttpHeader
-from tests.wire.cluster import CALL, CHUNK, STREAM, CutPolicy, NetworkTestCase, echo
+from tests.wire.cluster import CALL, CHUNK, STREAM, NetworkTestCase, ScriptedLinkPolicy, echo
 
 
 class CallTest(NetworkTestCase):
@@ -83,12 +83,12 @@
         unused = socket.create_server(("127.0.0.1", 0))
         address = Address("127.0.0.1", unused.getsockname()[1])
         unused.close()
-        self.book["gone"] = (address, "zone-1")
+        self.addresses["gone"] = (address, "zone-1")
         for target in ("gone", "gone", "unknown"):
             action = lambda target=target: self.call(target)  # noqa: E731
             self.assert_fails(ErrorCode.PEER_UNREACHABLE, Verdict.NOT_RUN, action)
 
-    def test_death_after_the_send_may_have_run_and_a_restart_is_found(self):
+    def test_peer_loss_after_the_send_may_have_run_and_calls_work_after_its_restart(self):
         started = Event()
 
         def hang(peer, request):
@@ -117,7 +117,7 @@
         stranger = self.network("stranger", key=b"other")
         action = lambda: self.call(caller=stranger)  # noqa: E731
         self.assert_fails(ErrorCode.PEER_UNREACHABLE, Verdict.NOT_RUN, action)
-        self.book["c"] = self.book["b"]
+        self.addresses["c"] = self.addresses["b"]
         action = lambda: self.call("c")  # noqa: E731
         self.assert_fails(ErrorCode.PEER_UNREACHABLE, Verdict.NOT_RUN, action)
         with socket.create_connection((self.b.address.host, self.b.address.port)) as garbage:
@@ -127,23 +127,23 @@
         self.assertEqual(self.call().value, "x")
 
 
-class CutTest(NetworkTestCase):
+class LinkPolicyTest(NetworkTestCase):
     def setUp(self):
         super().setUp()
-        self.policy = CutPolicy()
+        self.policy = ScriptedLinkPolicy()
         self.a = self.network("a", "zone-1", policy=self.policy)
         self.b = self.network("b", "zone-2", policy=self.policy)
         self.b.on_call(CALL, HttpHeader, echo)
 
-    def test_cut_before_the_send_is_not_run_and_heals(self):
+    def test_partition_before_the_send_is_not_run_and_recovers(self):
         message = HttpHeader("n", "v")
         self.a.call("b", CALL, message, HttpHeader, 5)
-        self.policy.cut = True
+        self.policy.partitioned = True
         with self.assertRaises(RunkeelError) as caught:
             self.a.call("b", CALL, message, HttpHeader, 5)
         self.assertIs(caught.exception.code, ErrorCode.PEER_UNREACHABLE)
         self.assertIs(caught.exception.verdict, Verdict.NOT_RUN)
-        self.policy.cut = False
+        self.policy.partitioned = False
         self.wait_until(lambda: self._reachable(message))
 
     def _reachable(self, message):
@@ -157,12 +157,12 @@
         ran = []
         self.b.on_call(CALL, HttpHeader, lambda peer, request: ran.append(1) or echo(peer, request))
         self.a.call("b", CALL, message, HttpHeader, 5)
-        self.policy.cut = True
+        self.policy.partitioned = True
         with self.assertRaises(RunkeelError) as caught:
             self.a.call("b", CALL, message, HttpHeader, 0.2)
         self.assertIs(caught.exception.code, ErrorCode.DEADLINE_EXCEEDED)
         self.assertIs(caught.exception.verdict, Verdict.NOT_RUN)
-        self.policy.cut = False
+        self.policy.partitioned = False
         self.wait_until(lambda: self._reachable(message))
         self.assertEqual(len(ran), 2)
 
--- a/tests/wire/test_streams.py
+++ b/tests/wire/test_streams.py
@@ -17,7 +17,7 @@
         self.b = self.network("b")
 
     def for_each_target(self):
-        """Every test holds for a peer and for the node itself."""
+        """Yield a remote peer and the node itself as targets."""
         for target, server in (("b", self.b), ("a", self.a)):
             with self.subTest(target=target):
                 yield target, server
@@ -38,7 +38,7 @@
                 numbers.append(int(decode(HttpHeader, body).value))
             self.assertEqual(numbers, list(range(1_000)))
 
-    def test_slow_reader_holds_up_its_own_stream_only(self):
+    def test_slow_reader_blocks_only_its_own_stream(self):
         for target, server in self.for_each_target():
             sent = []
 
@@ -95,7 +95,7 @@
                 self.wait_until(lambda n=number, codes=codes: len(codes) == n)
             self.assertEqual(codes, [(ErrorCode.CANCELLED, True)] * 2)
 
-    def test_return_of_the_handler_frees_a_blocked_sender(self):
+    def test_return_of_the_handler_unblocks_a_blocked_sender(self):
         for target, server in self.for_each_target():
             server.on_stream(STREAM, HttpHeader, lambda stream, first: gevent.sleep(0.05))
             stream = self.a.open_stream(target, STREAM, FIRST)
@@ -105,7 +105,7 @@
             self.assertIs(caught.exception.code, ErrorCode.CANCELLED)
             self.assertEqual(stream.receive(5), (0, b""))
 
-    def test_error_comes_after_what_was_sent_before_it(self):
+    def test_error_arrives_after_messages_sent_before_it(self):
         def fail(stream, first):
             stream.send(CHUNK, FIRST)
             raise RunkeelError(ErrorCode.BACKEND_LOST, "gone")
@@ -118,7 +118,7 @@
                 stream.receive(5)
             self.assertIs(caught.exception.code, ErrorCode.BACKEND_LOST)
 
-    def test_death_of_the_peer_ends_the_stream(self):
+    def test_loss_of_the_peer_ends_the_stream(self):
         ready = Event()
 
         def hang(stream, first):
@@ -134,7 +134,7 @@
         self.assertIs(caught.exception.code, ErrorCode.PEER_LOST)
         self.assertTrue(stream.cancelled)
 
-    def test_finished_streams_are_forgotten(self):
+    def test_finished_streams_are_removed(self):
         self.b.on_stream(STREAM, HttpHeader, lambda stream, first: stream.receive(5))
         for _ in range(50):
             stream = self.a.open_stream("b", STREAM, FIRST)
