--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -32,10 +32,10 @@
             100,
             ItemScorer("id", "host", "/", "Ym9keQ=="),
         )
-        whole = encode(request)
+        encoded = encode(request)
         rng = random.Random(1)
         for _ in range(2_000):
-            damaged = bytearray(whole)
+            damaged = bytearray(encoded)
             for _ in range(3):
                 damaged[rng.randrange(len(damaged))] = rng.randrange(256)
             try:
--- a/tests/wire/test_frames.py
+++ b/tests/wire/test_frames.py
@@ -42,8 +42,8 @@
         self.assert_refused(header(bomb, 714 | COMPRESSED_FLAG) + bomb, maximum=10_000)
 
     def test_malformed_compressed_bodies_are_refused(self):
-        whole = zlib.compress(b"text" * 500)
-        for body in (b"", b"not compressed", whole[:-5], whole + b"more"):
+        compressed = zlib.compress(b"text" * 500)
+        for body in (b"", b"not compressed", compressed[:-5], compressed + b"more"):
             with self.subTest(body[:8]):
                 self.assert_refused(header(body, 714 | COMPRESSED_FLAG) + body)
 
--- a/tests/wire/test_network.py
+++ b/tests/wire/test_network.py
@@ -114,8 +114,8 @@
 
     def test_wrong_key_wrong_node_and_garbage_are_refused(self):
         self.b.on_call(CALL, HttpHeader, echo)
-        stranger = self.network("stranger", key=b"other")
-        action = lambda: self.call(caller=stranger)  # noqa: E731
+        other_key_node = self.network("stranger", key=b"other")
+        action = lambda: self.call(caller=other_key_node)  # noqa: E731
         self.assert_fails(ErrorCode.PEER_UNREACHABLE, Verdict.NOT_RUN, action)
         self.addresses["c"] = self.addresses["b"]
         action = lambda: self.call("c")  # noqa: E731
