--- a/src/runkeel/api/configuration.py
+++ b/src/runkeel/api/configuration.py
@@ -108,7 +108,7 @@
 
 
 class RecordGroupSpec(Spec):
-    """A replica set for replicated records; see docs/design/records.md."""
+    """A replica set for replicated records."""
 
     epoch: int = Field(1, ge=1)
     members: tuple[str, ...] = ()
