--- a/src/runkeel/operators/diagnostics.py
+++ b/src/runkeel/operators/diagnostics.py
@@ -1,4 +1,4 @@
-"""Errors in an operator's text: where, what, and the nearest word that would have been right."""
+"""Errors in an operator's statement, with position and suggested correction."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from runkeel.errors import ErrorCode, RunkeelError, not_run
 
 
-def nearest(word: str, candidates: Iterable[str]) -> str | None:
-    """Return the candidate most like the word, or None when none is like it."""
+def nearest_match(word: str, candidates: Iterable[str]) -> str | None:
+    """Return the candidate most similar to the word, or None when none is similar."""
     matches = difflib.get_close_matches(word.lower(), list(candidates), n=1, cutoff=0.5)
     return matches[0] if matches else None
 
@@ -21,10 +21,11 @@
 
     Args:
         column: column of the offending word, from 0.
-        candidates: what could have stood there.
+        word: the offending word; empty when the statement ends too early.
+        candidates: words that are valid at that position.
     """
     candidates = sorted(set(candidates))
-    suggestion = nearest(word, candidates) if word else None
+    suggestion = nearest_match(word, candidates) if word else None
     hint = ""
     if suggestion is not None:
         hint = f'; did you mean "{suggestion}"?'
--- a/src/runkeel/operators/grammar.py
+++ b/src/runkeel/operators/grammar.py
@@ -23,7 +23,7 @@
 release: "release" "request" name [dry_run]
 
 assignment: field value
-// LALR(1) merges what may follow a name, so these keywords win over WORD there.
+// LALR(1) merges the terminals that may follow a name, so there keywords win over WORD.
 !field: WORD | "role" | "reason" | "version"
 suffix: if_generation | dry_run
 if_generation: "if" "generation" WORD
--- a/src/runkeel/operators/language.py
+++ b/src/runkeel/operators/language.py
@@ -1,4 +1,4 @@
-"""Parser of the operators' language: text in, a typed statement or a BAD_COMMAND error out."""
+"""Parser of the operators' language: turns a text into a typed statement."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from runkeel.operators.values import (
     ENGINE_ROLES,
     check_choice,
-    convert,
+    convert_value,
+    parse_whole_number,
     resolve_field,
-    whole_number,
 )
 
-MAXIMUM_TEXT_LENGTH = 4_000
+MAX_STATEMENT_LENGTH = 4_000
 CHANGEABLE_KINDS = {str(kind): kind for kind in ObjectKind if kind is not ObjectKind.RECORD_GROUP}
-"""Kinds that operators may change; record groups are the system's own."""
-_TERMINAL_HINTS = {
+"""Kinds that operators may change; record groups are managed by the system."""
+_TERMINAL_KEYWORDS = {
     "WORD": (),
     "STRING": (),
     "COMPARISON": tuple(str(comparison) for comparison in Comparison),
@@ -54,35 +54,35 @@
     """Parse one query or command.
 
     Raises:
-        RunkeelError: BAD_COMMAND, with the column and the nearest right word.
+        RunkeelError: BAD_COMMAND, with the column and the closest valid word.
     """
-    if len(text) > MAXIMUM_TEXT_LENGTH:
-        raise bad_command("", 0, f"longer than {MAXIMUM_TEXT_LENGTH} characters")
+    if len(text) > MAX_STATEMENT_LENGTH:
+        raise bad_command("", 0, f"longer than {MAX_STATEMENT_LENGTH} characters")
     try:
         tree = _parser().parse(text)
     except UnexpectedToken as error:
-        raise _unexpected(text, error.token, error.accepts or error.expected) from error
+        raise _unexpected_token_error(text, error.token, error.accepts or error.expected) from error
     except UnexpectedCharacters as error:
         column = error.pos_in_stream
         word = text[column:].split(maxsplit=1)[0] if text[column:].strip() else ""
         raise bad_command(text, column, f"unexpected {word!r}") from error
     except UnexpectedEOF as error:
         raise bad_command(text, len(text), "unexpected end") from error
-    return _Builder(text).build(tree.children[0])
+    return _StatementBuilder(text).build(tree.children[0])
 
 
-def expected_words(text: str) -> tuple[str, ...]:
-    """Return the keywords that may follow a text; for completion at a prompt."""
+def expected_keywords(text: str) -> tuple[str, ...]:
+    """Return the keywords that may follow a text, sorted."""
     interactive = _parser().parse_interactive(text)
     try:
         interactive.exhaust_lexer()
     except (UnexpectedToken, UnexpectedCharacters):
         return ()
-    return tuple(sorted(_words_of(interactive.accepts())))
+    return tuple(sorted(_keywords_of(interactive.accepts())))
 
 
 def accepts_word(text: str) -> bool:
-    """Return whether a free word (a name, field or value) may follow a text."""
+    """Return whether an arbitrary word (a name, field or value) may follow a text."""
     interactive = _parser().parse_interactive(text)
     try:
         interactive.exhaust_lexer()
@@ -91,26 +91,29 @@
     return "WORD" in interactive.accepts()
 
 
-def _words_of(terminals: set[str]) -> set[str]:
+def _keywords_of(terminals: set[str]) -> set[str]:
     words: set[str] = set()
     for name in terminals:
-        if name in _TERMINAL_HINTS:
-            words.update(_TERMINAL_HINTS[name])
+        if name in _TERMINAL_KEYWORDS:
+            words.update(_TERMINAL_KEYWORDS[name])
         elif name != "$END":
             words.add(_parser().get_terminal(name).pattern.value)
     return words
 
 
-def _unexpected(text: str, token: Token, expected: set[str]) -> RunkeelError:
-    words = _words_of(set(expected))
+def _unexpected_token_error(text: str, token: Token, expected: set[str]) -> RunkeelError:
+    words = _keywords_of(set(expected))
     if token.type == "$END":
-        wanted = "" if words else "; a name or value is wanted"
-        return bad_command(text, len(text), f"the command is not complete{wanted}", "", words)
+        expectation = "" if words else "; expected a name or value"
+        return bad_command(text, len(text), f"the command is not complete{expectation}", "", words)
     return bad_command(text, token.start_pos, f"unexpected {str(token)!r}", str(token), words)
 
 
-class _Builder:
-    """Turns a parse tree into a statement."""
+class _StatementBuilder:
+    """Builds a statement from a parse tree.
+
+    The methods that ``build`` calls are named after the rules of the grammar.
+    """
 
     def __init__(self, text: str) -> None:
         self._text = text
@@ -131,7 +134,7 @@
         )
 
     def _limit(self, tree: Tree | None) -> int | None:
-        return whole_number(self._text, _word(tree.children[0]), "limit") if tree else None
+        return parse_whole_number(self._text, _word(tree.children[0]), "limit") if tree else None
 
     def _condition(self, tree: Tree) -> Condition:
         field, comparison, value = tree.children
@@ -147,7 +150,7 @@
 
     def _deploy(self, children: list) -> Change:
         name, version, adapter, *suffixes = children
-        number = whole_number(self._text, _word(version), "version")
+        number = parse_whole_number(self._text, _word(version), "version")
         fields = (
             ("target_version", number),
             ("adapter", _value(adapter).text if adapter else ""),
@@ -207,7 +210,7 @@
     def _assignment(self, kind: ObjectKind, tree: Tree) -> tuple[str, Scalar]:
         field_tree, value_tree = tree.children
         field_name = resolve_field(self._text, kind, _word(field_tree.children[0]))
-        return field_name, convert(self._text, kind, field_name, _value(value_tree))
+        return field_name, convert_value(self._text, kind, field_name, _value(value_tree))
 
     def _change(
         self,
@@ -226,7 +229,7 @@
                 dry_run = True
             else:
                 word = _word(option.children[0])
-                expected_generation = whole_number(self._text, word, "generation")
+                expected_generation = parse_whole_number(self._text, word, "generation")
         return Change(verb, kind, _value(name).text, mode, fields, expected_generation, dry_run)
 
 
--- a/src/runkeel/operators/prompt.py
+++ b/src/runkeel/operators/prompt.py
@@ -12,7 +12,7 @@
 
 from runkeel.errors import RunkeelError
 from runkeel.operators.client import OperatorClient
-from runkeel.operators.language import CHANGEABLE_KINDS, accepts_word, expected_words
+from runkeel.operators.language import CHANGEABLE_KINDS, accepts_word, expected_keywords
 from runkeel.operators.sources import RESOURCES
 from runkeel.operators.values import field_names
 
@@ -38,7 +38,7 @@
         text = document.text_before_cursor
         fragment = "" if not text or text[-1] in " ,=<>" else text.split()[-1]
         before = text[: len(text) - len(fragment)]
-        for word in sorted({*expected_words(before), *self._free_words(before)}):
+        for word in sorted({*expected_keywords(before), *self._free_words(before)}):
             if word.startswith(fragment):
                 yield Completion(word, start_position=-len(fragment))
 
--- a/src/runkeel/operators/selection.py
+++ b/src/runkeel/operators/selection.py
@@ -1,4 +1,4 @@
-"""Filters, orders and cuts the rows of a table as a query asks."""
+"""Filters, sorts and limits the rows of a table."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from runkeel.operators.values import parse_scalar
 
 _NULL = "null"
-_COMPARE: dict[Comparison, Callable[[Any, Any], bool]] = {
+_COMPARATORS: dict[Comparison, Callable[[Any, Any], bool]] = {
     Comparison.EQUAL: operator.eq,
     Comparison.NOT_EQUAL: operator.ne,
     Comparison.LESS: operator.lt,
@@ -23,7 +23,7 @@
 
 
 def check_columns(text: str, query: ShowQuery, source: QuerySource) -> None:
-    """Check that all fields that a query names exist.
+    """Check that the table has all columns that a query names.
 
     Raises:
         RunkeelError: BAD_COMMAND.
@@ -38,16 +38,16 @@
 
 
 def select(query: ShowQuery, columns: tuple[str, ...], rows: list[Row]) -> list[Row]:
-    """Return the rows that the query asks for, in its order."""
+    """Apply the conditions, order and limit of a query to rows."""
     for condition in query.conditions:
         index = columns.index(condition.field.text)
         rows = [row for row in rows if _matches(row[index], condition)]
     if query.order_by is not None:
-        rows = _ordered(rows, columns.index(query.order_by.text), query.descending)
+        rows = _sorted_by(rows, columns.index(query.order_by.text), query.descending)
     return rows if query.limit is None else rows[: query.limit]
 
 
-def _ordered(rows: list[Row], index: int, descending: bool) -> list[Row]:
+def _sorted_by(rows: list[Row], index: int, descending: bool) -> list[Row]:
     return sorted(rows, key=lambda row: _sort_key(row[index]), reverse=descending)
 
 
@@ -61,10 +61,10 @@
 
 
 def _matches(value: Scalar, condition: Condition) -> bool:
-    """Return whether a value fulfils a condition; null only equals the word ``null``."""
+    """Return whether a value meets a condition; null equals only the word ``null``."""
     text = condition.value.text
     if condition.comparison is Comparison.CONTAINS:
-        return text in _text(value)
+        return text in _to_text(value)
     if value is None or text == _NULL:
         equal = value is None and text == _NULL
         return (
@@ -72,13 +72,13 @@
             if condition.comparison is Comparison.EQUAL
             else (condition.comparison is Comparison.NOT_EQUAL and not equal)
         )
-    wanted = text if isinstance(value, str) else parse_scalar(text)
-    if isinstance(value, str) != isinstance(wanted, str):
+    operand = text if isinstance(value, str) else parse_scalar(text)
+    if isinstance(value, str) != isinstance(operand, str):
         return condition.comparison is Comparison.NOT_EQUAL
-    return _COMPARE[condition.comparison](value, wanted)
+    return _COMPARATORS[condition.comparison](value, operand)
 
 
-def _text(value: Scalar) -> str:
+def _to_text(value: Scalar) -> str:
     if isinstance(value, bool):
         return str(value).lower()
     return "" if value is None else str(value)
--- a/src/runkeel/operators/statements.py
+++ b/src/runkeel/operators/statements.py
@@ -52,21 +52,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ShowCommand:
-    """``show command ID``: settles the outcome of an earlier command."""
+    """``show command ID``: asks for the outcome of an earlier command."""
 
     command_id: str
 
 
 class ChangeMode(enum.StrEnum):
-    """What a change expects of the object."""
+    """Whether a change requires that the object exists, and what becomes of other fields."""
 
     UPDATE = "update"
-    """It must exist."""
+    """The object must exist."""
     CREATE = "create"
-    """It must not exist."""
+    """The object must not exist."""
     UPSERT = "upsert"
     REPLACE = "replace"
-    """Like UPSERT, but fields that are not assigned go back to their defaults."""
+    """Like UPSERT, but fields that are not assigned are reset to their defaults."""
     DELETE = "delete"
 
 
@@ -76,7 +76,7 @@
 
     Attributes:
         verb: first word of the command.
-        fields: new values by name of the spec's field.
+        fields: names of fields of the spec, with their new values.
     """
 
     verb: str
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """``release request FINGERPRINT``: a request that is held back may be sent to servers again."""
+    """``release request FINGERPRINT``: releases a request from quarantine."""
 
     fingerprint: str
     dry_run: bool = False
--- a/src/runkeel/operators/values.py
+++ b/src/runkeel/operators/values.py
@@ -1,4 +1,4 @@
-"""Values with units, converted to the type of the configuration field that they are for."""
+"""Conversion of values with units to the types of configuration fields."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from runkeel.operators.statements import Scalar, Word
 
 _NUMBER = re.compile(r"([+-]?\d+(?:\.\d+)?)([a-z%]*)", re.IGNORECASE)
-_MILLISECONDS = {"ms": 1, "s": 1_000, "m": 60_000, "min": 60_000, "h": 3_600_000}
+_MILLISECONDS_PER_UNIT = {"ms": 1, "s": 1_000, "m": 60_000, "min": 60_000, "h": 3_600_000}
 _FIELD_SUFFIXES = ("", "_ms", "_seconds")
 _FIELD_PREFIXES = ("", "default_", "max_", "target_")
 ENGINE_ROLES = ("mixed", "serve", "rollout")
 ROLE_READ = "read"
 ROLE_OPERATE = "operate"
 OPERATOR_ROLES = (ROLE_READ, ROLE_OPERATE)
-_CHOICES = {
+_FIELD_CHOICES = {
     (ObjectKind.ENGINE_ROLE, "role"): ENGINE_ROLES,
     (ObjectKind.OPERATOR, "role"): OPERATOR_ROLES,
 }
@@ -32,7 +32,9 @@
 
 
 def resolve_field(text: str, kind: ObjectKind, word: Word) -> str:
-    """Return the field that a word names; ``deadline`` is short for ``default_deadline_ms``.
+    """Return the field that a word names.
+
+    Prefixes and unit suffixes may be left out: ``deadline`` is ``default_deadline_ms``.
 
     Raises:
         RunkeelError: BAD_COMMAND.
@@ -46,7 +48,7 @@
     raise bad_command(text, word.column, f"{kind} has no field {word.text!r}", word.text, known)
 
 
-def convert(text: str, kind: ObjectKind, field_name: str, word: Word) -> Scalar:
+def convert_value(text: str, kind: ObjectKind, field_name: str, word: Word) -> Scalar:
     """Convert a word to the type of a field.
 
     Raises:
@@ -54,43 +56,46 @@
     """
     annotation = SPEC_CLASSES[kind].model_fields[field_name].annotation
     if annotation is bool:
-        return _boolean(text, word)
+        return _parse_boolean(text, word)
     if annotation in (int, float):
-        return _number(text, field_name, annotation, word)
-    choices = _CHOICES.get((kind, field_name), ())
+        return _parse_number(text, field_name, annotation, word)
+    choices = _FIELD_CHOICES.get((kind, field_name), ())
     if isinstance(annotation, type) and issubclass(annotation, Enum):
         choices = tuple(str(member.value) for member in annotation)
     if choices:
         check_choice(text, field_name, word, choices)
     if isinstance(annotation, types.GenericAlias) or typing.get_origin(annotation) is tuple:
-        raise bad_command(text, word.column, f"{field_name} is a list, kept by the system itself")
+        raise bad_command(text, word.column, f"{field_name} is a list that the system manages")
     return word.text
 
 
-def check_choice(text: str, what: str, word: Word, choices: tuple[str, ...]) -> None:
+def check_choice(text: str, label: str, word: Word, choices: tuple[str, ...]) -> None:
     """Check that a word is one of the choices.
 
     Raises:
         RunkeelError: BAD_COMMAND.
     """
     if word.text not in choices:
-        problem = f"unknown {what} {word.text!r}"
+        problem = f"unknown {label} {word.text!r}"
         raise bad_command(text, word.column, problem, word.text, choices)
 
 
-def whole_number(text: str, word: Word, what: str) -> int:
-    """Return a whole number, 0 or more.
+def parse_whole_number(text: str, word: Word, label: str) -> int:
+    """Parse a whole number, 0 or more.
 
     Raises:
         RunkeelError: BAD_COMMAND.
     """
     if not (word.text.isascii() and word.text.isdigit()):
-        raise bad_command(text, word.column, f"{what} must be a whole number, not {word.text!r}")
+        raise bad_command(text, word.column, f"{label} must be a whole number, not {word.text!r}")
     return int(word.text)
 
 
 def parse_scalar(word: str) -> Scalar:
-    """Return the number, boolean or text that a word of a condition stands for."""
+    """Parse a word of a condition as a number, boolean or text.
+
+    Durations become milliseconds and percentages become fractions.
+    """
     match = _NUMBER.fullmatch(word)
     if match is None:
         return _BOOLEANS.get(word.lower(), word) if word.lower() in ("true", "false") else word
@@ -100,10 +105,10 @@
         return number
     if unit == "%":
         return number / 100
-    return number * _MILLISECONDS[unit] if unit in _MILLISECONDS else word
+    return number * _MILLISECONDS_PER_UNIT[unit] if unit in _MILLISECONDS_PER_UNIT else word
 
 
-def _boolean(text: str, word: Word) -> bool:
+def _parse_boolean(text: str, word: Word) -> bool:
     value = _BOOLEANS.get(word.text.lower())
     if value is None:
         raise bad_command(
@@ -112,12 +117,12 @@
     return value
 
 
-def _number(text: str, field_name: str, wanted: type, word: Word) -> int | float:
+def _parse_number(text: str, field_name: str, number_type: type, word: Word) -> int | float:
     match = _NUMBER.fullmatch(word.text)
     if match is None:
         raise bad_command(text, word.column, f"{field_name} must be a number, not {word.text!r}")
     number = float(match[1]) * _unit_factor(text, field_name, match[2].lower(), word)
-    if wanted is float:
+    if number_type is float:
         return number
     if not number.is_integer():
         raise bad_command(text, word.column, f"{field_name} must be a whole number")
@@ -129,10 +134,10 @@
         return 1.0
     if unit == "%" and _is_fraction(field_name):
         return 0.01
-    if unit in _MILLISECONDS and field_name.endswith("_ms"):
-        return float(_MILLISECONDS[unit])
-    if unit in _MILLISECONDS and field_name.endswith("_seconds"):
-        return _MILLISECONDS[unit] / 1_000
+    if unit in _MILLISECONDS_PER_UNIT and field_name.endswith("_ms"):
+        return float(_MILLISECONDS_PER_UNIT[unit])
+    if unit in _MILLISECONDS_PER_UNIT and field_name.endswith("_seconds"):
+        return _MILLISECONDS_PER_UNIT[unit] / 1_000
     allowed = _allowed_units(field_name)
     problem = f"{field_name} takes no unit {unit!r} ({allowed})"
     raise bad_command(text, word.column, problem, word.text)
@@ -144,5 +149,5 @@
 
 def _allowed_units(field_name: str) -> str:
     if field_name.endswith(("_ms", "_seconds")):
-        return f"units: {', '.join(_MILLISECONDS)}"
-    return "unit: %" if _is_fraction(field_name) else "a plain number is wanted"
+        return f"units: {', '.join(_MILLISECONDS_PER_UNIT)}"
+    return "unit: %" if _is_fraction(field_name) else "expected a number without a unit"
--- a/tests/operators/test_language.py
+++ b/tests/operators/test_language.py
@@ -1,4 +1,4 @@
-"""The grammar: what is understood, and what errors point at."""
+"""Parsing of statements, errors in them, and completion."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 from runkeel.api.configuration import ObjectKind
 from runkeel.errors import ErrorCode, RunkeelError
-from runkeel.operators.language import expected_words, parse_statement
+from runkeel.operators.language import expected_keywords, parse_statement
 from runkeel.operators.statements import Change, ChangeMode, ShowCommand, ShowQuery
 
 
@@ -65,7 +65,7 @@
             with self.subTest(text):
                 self.assertEqual(expected, parse_statement(text))
 
-    def test_errors_point_at_the_word_and_suggest_the_nearest(self):
+    def test_errors_locate_the_word_and_suggest_a_correction(self):
         cases = {
             "depoy model m version 1": (1, 'did you mean "deploy"'),
             "deploy model m versoin 1": (16, 'did you mean "version"'),
@@ -103,16 +103,16 @@
             max_size=9,
         )
     )  # fmt: skip
-    def test_any_text_parses_or_is_a_bad_command(self, words):
+    def test_any_text_is_parsed_or_raises_bad_command(self, words):
         try:
             parse_statement(" ".join(words))
         except RunkeelError as error:
             self.assertEqual(ErrorCode.BAD_COMMAND, error.code)
 
-    def test_completion_offers_what_may_follow(self):
-        self.assertIn("deploy", expected_words(""))
-        self.assertEqual(("version",), expected_words("deploy model m "))
-        self.assertIn("--dry-run", expected_words("deploy model m version 2 "))
+    def test_completion_offers_the_next_keywords(self):
+        self.assertIn("deploy", expected_keywords(""))
+        self.assertEqual(("version",), expected_keywords("deploy model m "))
+        self.assertIn("--dry-run", expected_keywords("deploy model m version 2 "))
 
 
 if __name__ == "__main__":
