--- a/src/runkeel/operators/documents.py
+++ b/src/runkeel/operators/documents.py
@@ -1,4 +1,4 @@
-"""Bodies of the operators' requests and answers."""
+"""Bodies of operators' requests and responses."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Any
 
 from runkeel.errors import ErrorCode, not_run
-from runkeel.operators.local_queries import QueryAnswer
+from runkeel.operators.local_queries import QueryResult
 
 
 def parse_document(body: bytes) -> dict[str, Any]:
-    """Parse a request's body. Raises RunkeelError BAD_REQUEST."""
+    """Parse the JSON object in a request's body. Raises RunkeelError BAD_REQUEST."""
     try:
         document = json.loads(body)
     except ValueError as error:
@@ -20,21 +20,21 @@
     return document
 
 
-def text_of(document: dict[str, Any], key: str) -> str:
-    """Return a text that a body must have. Raises RunkeelError BAD_REQUEST."""
+def string_field(document: dict[str, Any], key: str) -> str:
+    """Return a required, non-empty string of a body. Raises RunkeelError BAD_REQUEST."""
     text = document.get(key)
     if not isinstance(text, str) or not text.strip():
-        raise not_run(ErrorCode.BAD_REQUEST, f"the body needs the text {key!r}")
+        raise not_run(ErrorCode.BAD_REQUEST, f"the body must have a non-empty string {key!r}")
     return text
 
 
-def answer_document(answer: QueryAnswer) -> dict[str, Any]:
-    """Render the answer to a query."""
+def result_document(result: QueryResult) -> dict[str, Any]:
+    """Return the response body for the result of a query."""
     return {
-        "columns": list(answer.columns),
-        "rows": [list(row) for row in answer.rows],
-        "age_ms": answer.age_ms,
-        "unreachable_zones": list(answer.unreachable_zones),
-        "unreachable_nodes": list(answer.unreachable_nodes),
-        "truncated": answer.truncated,
+        "columns": list(result.columns),
+        "rows": [list(row) for row in result.rows],
+        "age_ms": result.age_ms,
+        "unreachable_zones": list(result.unreachable_zones),
+        "unreachable_nodes": list(result.unreachable_nodes),
+        "truncated": result.truncated,
     }
--- a/src/runkeel/operators/fleet_commands.py
+++ b/src/runkeel/operators/fleet_commands.py
@@ -1,8 +1,9 @@
-"""Operators' commands at a node that serves a platform.
+"""Operators' commands on a node that serves a platform.
 
-What the platform's store holds belongs to those who write it there: the configuration to the
-operator, versions to trainers, a server's state to the server. A command that would write it is
-refused, and the refusal says who may. What a node can do itself, stopping as planned, it does.
+Objects in the platform's store are written by their owners: the configuration by the operator,
+versions by trainers, and a server's state by the server. Commands that would change these objects
+are refused with an error that names the owner. A node runs the commands that concern itself: its
+own planned stop and the release of a quarantined request.
 """
 
 from __future__ import annotations
@@ -23,19 +24,20 @@
 DRY_RUN = "would be accepted"
 
 _OWNERS = {
-    "deploy": "a version is named by its model's trainer, in the platform's store",
+    "deploy": "only the model's trainer publishes versions, in the platform's store",
     "drain": "a server says itself, in the platform's store, that it drains",
     "undrain": "a server says itself, in the platform's store, whether it drains",
 }
-_CONFIGURATION = "the configuration is one object of the operator's in the platform's store"
+_CONFIGURATION_OWNER = "the configuration is the operator's own object in the platform's store"
 
 
 @dataclass(frozen=True, slots=True)
 class CommandOutcome:
-    """What became of a command.
+    """Result of a command; its fields are those of the response body.
 
     Attributes:
-        changes: what it does, as a sentence.
+        outcome: ``ACCEPTED`` or ``DRY_RUN``.
+        changes: a sentence that describes the effect.
     """
 
     outcome: str
@@ -44,25 +46,26 @@
 
 
 class FleetCommands:
-    """Takes the commands of one node's operators.
+    """Runs operators' commands on one node.
 
     Args:
-        node_id: this node.
-        stop: begins this node's planned stop.
-        ledger: the requests under which servers ended.
+        node_id: id of this node.
+        request_stop: begins the planned stop of this node.
+        ledger: records of requests that were in flight when servers ended.
     """
 
-    def __init__(self, node_id: str, stop: Callable[[], None], ledger: CrashLedger) -> None:
+    def __init__(self, node_id: str, request_stop: Callable[[], None], ledger: CrashLedger) -> None:
         self._node_id = node_id
-        self._stop = stop
+        self._request_stop = request_stop
         self._ledger = ledger
 
     def run(self, text: str, command_id: str) -> CommandOutcome:
-        """Carry a command out, or say what it would do if it ends with ``dry run``.
+        """Run a command, or only describe its effect if it ends with ``--dry-run``.
 
         Raises:
-            RunkeelError: BAD_COMMAND for a text that is not understood, FORBIDDEN for what
-                somebody else has to write. Nothing was changed.
+            RunkeelError: BAD_COMMAND for a text that is not a valid command, FORBIDDEN for a
+                change that this node may not make, NOT_FOUND for a release of an unknown
+                request. Nothing was changed.
         """
         change = parse_statement(text)
         if isinstance(change, ReleaseRequest):
@@ -71,17 +74,21 @@
             raise bad_command(text, 0, "not a command")
         if change.verb == "stop":
             return self._stop_node(change, command_id)
-        raise _refusal(change)
+        raise _forbidden_error(change)
 
     def _release(self, release: ReleaseRequest, command_id: str) -> CommandOutcome:
-        """Let a request go; the other nodes hear of it as of any other clearance."""
+        """Release a request; the clearance reaches the other nodes like any other."""
         record = self._ledger.get(release.fingerprint)
         if record is None or not record.ended:
-            raise not_run(ErrorCode.NOT_FOUND, f"no such request: {release.fingerprint}")
+            raise not_run(
+                ErrorCode.NOT_FOUND, f"no quarantine record of request {release.fingerprint}"
+            )
         ended = len(record.ended)
-        changes = f"what {ended} servers ended under may be sent to {record.service} again"
+        changes = (
+            f"a request under which {ended} servers ended may be sent to {record.service} again"
+        )
         logger.info(
-            "command",
+            "operator command",
             code="operator_command",
             command=command_id,
             verb="release",
@@ -95,11 +102,11 @@
 
     def _stop_node(self, change: Change, command_id: str) -> CommandOutcome:
         if change.name != self._node_id:
-            detail = f"this is {self._node_id}; {change.name} is asked itself"
+            detail = f"this node is {self._node_id}; send the command to {change.name} itself"
             raise not_run(ErrorCode.FORBIDDEN, detail)
-        changes = f"{self._node_id} hands over, answers what is in flight, and ends"
+        changes = f"{self._node_id} hands over its duties, completes requests in flight, and exits"
         logger.info(
-            "command",
+            "operator command",
             code="operator_command",
             command=command_id,
             verb=change.verb,
@@ -107,12 +114,12 @@
         )
         if change.dry_run:
             return CommandOutcome(DRY_RUN, command_id, changes)
-        self._stop()
+        self._request_stop()
         return CommandOutcome(ACCEPTED, command_id, changes)
 
 
-def _refusal(change: Change) -> RunkeelError:
-    owner = _OWNERS.get(change.verb, _CONFIGURATION)
+def _forbidden_error(change: Change) -> RunkeelError:
+    owner = _OWNERS.get(change.verb, _CONFIGURATION_OWNER)
     if change.kind is ObjectKind.DRAIN and change.verb == "drain":
-        owner += "; a machine is emptied by an object of the platform"
+        owner += "; a machine is drained through an object of the platform"
     return not_run(ErrorCode.FORBIDDEN, f"{change.verb} {change.name}: {owner}")
--- a/src/runkeel/operators/fleet_routes.py
+++ b/src/runkeel/operators/fleet_routes.py
@@ -1,6 +1,7 @@
-"""What operators ask of a fleet node: counters, and queries in their language.
+"""HTTP routes for operators on a fleet node: metrics, queries and commands.
 
-The language is loaded with the first text, as its parser's memory is paid for on every machine.
+The query language is imported on first use, so that nodes without queries do not hold its parser in
+memory.
 """
 
 from __future__ import annotations
@@ -26,44 +27,50 @@
 
 
 class FleetOperatorRoutes:
-    """Answers on the metrics address.
+    """Serves the metrics address.
 
     Args:
-        stop: begins the planned stop of this process.
+        request_stop: begins the planned stop of this process.
     """
 
-    def __init__(self, node: FleetNode, stop: Callable[[], None]) -> None:
+    def __init__(self, node: FleetNode, request_stop: Callable[[], None]) -> None:
         self._node = node
-        self._stop = stop
+        self._request_stop = request_stop
 
     def answer(self, request: ClientRequest) -> ClientAnswer:
-        """Answer one request. Raises RunkeelError for what can't be asked."""
+        """Handle one request.
+
+        Raises:
+            RunkeelError: NOT_FOUND for an unknown path, or the error of the query or command.
+        """
         if request.path == METRICS_PATH:
             return ClientAnswer(200, [("Content-Type", CONTENT_TYPE_LATEST)], generate_latest())
         if (request.method, request.path) == ("POST", QUERIES_PATH):
-            return self._answer_query(request.body)
+            return self._run_query(request.body)
         if (request.method, request.path) == ("POST", COMMANDS_PATH):
             return self._run_command(request.body)
         raise not_run(ErrorCode.NOT_FOUND, request.path)
 
-    def _answer_query(self, body: bytes) -> ClientAnswer:
-        from runkeel.operators.documents import answer_document, parse_document, text_of
+    def _run_query(self, body: bytes) -> ClientAnswer:
+        from runkeel.operators.documents import parse_document, result_document, string_field
         from runkeel.operators.fleet_tables import FleetTables
-        from runkeel.operators.local_queries import answer_locally
+        from runkeel.operators.local_queries import run_query
         from runkeel.operators.sources import QuerySources
 
         sources = QuerySources()
         FleetTables(self._node).register(sources)
-        text = text_of(parse_document(body), "query")
-        document = answer_document(answer_locally(sources, text))
+        text = string_field(parse_document(body), "query")
+        document = result_document(run_query(sources, text))
         return ClientAnswer(200, [_JSON], json.dumps(document).encode())
 
     def _run_command(self, body: bytes) -> ClientAnswer:
-        from runkeel.operators.documents import parse_document, text_of
+        from runkeel.operators.documents import parse_document, string_field
         from runkeel.operators.fleet_commands import FleetCommands
 
         document = parse_document(body)
         command_id = str(document.get("command_id") or uuid.uuid4().hex)
-        commands = FleetCommands(self._node.node_id, self._stop, self._node.quarantine.ledger)
-        outcome = commands.run(text_of(document, "command"), command_id)
+        commands = FleetCommands(
+            self._node.node_id, self._request_stop, self._node.quarantine.ledger
+        )
+        outcome = commands.run(string_field(document, "command"), command_id)
         return ClientAnswer(200, [_JSON], json.dumps(asdict(outcome)).encode())
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -1,4 +1,4 @@
-"""Tables of a fleet node: what it believes, its servers and routes, and the work it coordinates."""
+"""Tables of a fleet node: its state, servers, routes, quarantine and coordinated work."""
 
 from __future__ import annotations
 
@@ -67,13 +67,15 @@
 
 
 class FleetTables:
-    """Provides the rows; jobs, versions and usage are known at the coordinator only."""
+    """Provides the rows of the tables.
+
+    Jobs, versions and usage windows have rows on the coordinator only.
+    """
 
     def __init__(self, node: FleetNode) -> None:
         self._node = node
 
     def register(self, sources: QuerySources) -> None:
-        """Add the tables."""
         sources.add("node", NODE_COLUMNS, self._node_rows)
         sources.add("backends", BACKEND_COLUMNS, self._backend_rows)
         sources.add("routes", ROUTE_COLUMNS, self._route_rows)
@@ -107,7 +109,7 @@
         rows: list[Row] = []
         for state in self._node.directory.all():
             backend = state.backend
-            common = (
+            server_columns = (
                 backend.backend_id,
                 backend.service,
                 backend.zone,
@@ -122,7 +124,7 @@
                 backend.unreadable or None,
             )
             versions = backend.model_versions or {None: None}
-            rows.extend((*common, model, version) for model, version in versions.items())
+            rows.extend((*server_columns, model, version) for model, version in versions.items())
         rows.extend(
             _unreadable_row(backend_id, reason)
             for backend_id, reason in self._node.directory.unreadable.items()
@@ -168,12 +170,12 @@
     def _tenant_rows(self) -> list[Row]:
         configuration = self._node.routing.configuration
         tenants = configuration.tenants if configuration is not None else None
-        return [(one.name, one.rank, len(one.key_digests)) for one in tenants or ()]
+        return [(tenant.name, tenant.rank, len(tenant.key_digests)) for tenant in tenants or ()]
 
     def _usage_rows(self) -> list[Row]:
         return [
-            (one.window, one.state, one.requests, one.tenants, one.ended_ms_ago)
-            for one in self._node.usage_windows()
+            (window.window, window.state, window.requests, window.tenants, window.ended_ms_ago)
+            for window in self._node.usage_windows()
         ]
 
     def _quarantine_rows(self) -> list[Row]:
@@ -197,7 +199,8 @@
         calls = self._node.deferrable_calls
         limits = [(service, calls.limit_of(service)) for service in calls.services()]
         return [
-            (service, one.limit, one.under_way, calls.waiting(service)) for service, one in limits
+            (service, limit.limit, limit.under_way, calls.waiting(service))
+            for service, limit in limits
         ]
 
     def _kept_job_rows(self) -> list[Row]:
@@ -215,7 +218,7 @@
 
 
 def _unreadable_row(backend_id: str, reason: str) -> Row:
-    """Return the row of an entry that names no server."""
+    """Return the row of an entry that can't be matched to a known server."""
     row = dict.fromkeys(BACKEND_COLUMNS)
     row.update(backend=backend_id, unreadable=True, reason=reason)
     return tuple(row.values())
--- a/src/runkeel/operators/local_queries.py
+++ b/src/runkeel/operators/local_queries.py
@@ -1,4 +1,4 @@
-"""Queries that a node answers from its own rows."""
+"""Runs queries on the tables of one node."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QueryAnswer:
-    """Rows, and how far they can be relied on.
+class QueryResult:
+    """Rows of a query, with their age and completeness.
 
     Attributes:
-        age_ms: age of the oldest thing shown.
-        unreachable_zones: zones of those nodes, if no other node there answered.
-        unreachable_nodes: nodes that did not answer, or that the machine list shows and
-            membership does not.
-        truncated: some node had more rows than a reply holds.
+        age_ms: upper bound of the age of the rows, in milliseconds.
+        unreachable_zones: zones of unreachable nodes in which no other node responded.
+        unreachable_nodes: nodes that did not respond, or that are in the machine list but not in
+            the membership.
+        truncated: whether some node had more rows than fit into one reply.
     """
 
     columns: tuple[str, ...]
@@ -32,23 +32,23 @@
     truncated: bool = False
 
 
-def answer_locally(sources: QuerySources, text: str) -> QueryAnswer:
-    """Answer a query from a node's own tables.
+def run_query(sources: QuerySources, text: str) -> QueryResult:
+    """Run a query on a node's tables.
 
     Raises:
         RunkeelError: BAD_COMMAND.
     """
     query = parse_statement(text)
     if not isinstance(query, ShowQuery):
-        raise bad_command(text, 0, "not a query; what runs on a platform is changed there")
+        raise bad_command(text, 0, "not a query; a platform's objects are changed on the platform")
     source = find_source(sources, text, query)
     started_at = steady_seconds()
     rows = select(query, source.columns, source.provider())
-    return QueryAnswer(source.columns, rows, age_ms(source.columns, rows, started_at))
+    return QueryResult(source.columns, rows, max_age_ms(source.columns, rows, started_at))
 
 
 def find_source(sources: QuerySources, text: str, query: ShowQuery) -> QuerySource:
-    """Return the table that a query asks for, having checked its fields.
+    """Return the table that a query reads, after checking the columns that the query names.
 
     Raises:
         RunkeelError: BAD_COMMAND.
@@ -62,11 +62,11 @@
     return source
 
 
-def age_ms(columns: tuple[str, ...], rows: list[Row], started_at: float) -> int:
-    """Return an upper bound of the age of what the rows show."""
-    collecting_ms = int((steady_seconds() - started_at) * 1000)
+def max_age_ms(columns: tuple[str, ...], rows: list[Row], started_at: float) -> int:
+    """Return an upper bound of the age of rows, in milliseconds."""
+    elapsed_ms = int((steady_seconds() - started_at) * 1000)
     if AGE_COLUMN not in columns:
-        return collecting_ms
+        return elapsed_ms
     index = columns.index(AGE_COLUMN)
     ages = (int(row[index]) for row in rows if isinstance(row[index], int | float))
-    return collecting_ms + max(ages, default=0)
+    return elapsed_ms + max(ages, default=0)
--- a/src/runkeel/operators/sources.py
+++ b/src/runkeel/operators/sources.py
@@ -1,4 +1,4 @@
-"""What can be asked: named tables of rows, registered by the parts of a node."""
+"""Registry of the tables that queries can read."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 RowProvider = Callable[[], list[Row]]
 
 AGE_COLUMN = "age_ms"
-"""A column of this name says how old what the row shows is; null when not known."""
+"""A column of this name holds the age of a row's data in milliseconds; null when unknown."""
 RESOURCES = "resources"
 
 
 @dataclass(frozen=True, slots=True)
 class QuerySource:
-    """A table.
+    """A table that queries can read.
 
     Attributes:
-        everywhere: whether each node has rows of its own, so that all must be asked; otherwise
-            every node holds the same rows.
+        everywhere: whether each node has its own rows, so that all nodes must be queried; otherwise
+            all nodes have the same rows.
     """
 
     name: str
@@ -44,15 +44,14 @@
         provider: RowProvider,
         everywhere: bool = False,
     ) -> None:
-        """Register a table; a provider returns rows of as many values as there are columns."""
+        """Register a table; the provider returns rows with one value per column."""
         self._sources[name] = QuerySource(name, tuple(columns), provider, everywhere)
 
     def get(self, name: str) -> QuerySource | None:
-        """Return a table, or None."""
         return self._sources.get(name)
 
     def names(self) -> tuple[str, ...]:
-        """Return the names of all tables, sorted."""
+        """Return the sorted names of all tables."""
         return tuple(sorted(self._sources))
 
     def _resource_rows(self) -> list[Row]:
--- a/tests/users_platform/test_operator_queries.py
+++ b/tests/users_platform/test_operator_queries.py
@@ -1,4 +1,4 @@
-"""The operators' queries on a node of the users' platform, through the command line's client."""
+"""Operators' queries and commands on nodes of the users' platform, sent with the ctl client."""
 
 import contextlib
 import io
@@ -21,24 +21,24 @@
         (self.coordinator,) = self.deployment.coordinators()
 
     def rows(self, text, node="edge-0"):
-        answer = OperatorClient(self.url(node)).send(text).document
-        return [dict(zip(answer["columns"], row, strict=True)) for row in answer["rows"]]
+        response = OperatorClient(self.url(node)).send(text).document
+        return [dict(zip(response["columns"], row, strict=True)) for row in response["rows"]]
 
     def url(self, node):
         return f"http://{self.deployment.node(node).metrics_address}"
 
-    def test_what_a_node_believes(self):
+    def test_node_table(self):
         self.wait(lambda: self.rows("show node")[0]["follows_feed"])
         (row,) = self.rows("show node")
         self.assertEqual((row["node"], row["configuration"]), ("edge-0", 1))
         self.assertEqual((row["coordinator"], row["coordinating"]), (self.coordinator, False))
 
-    def test_servers_and_routes(self):
+    def test_backends_and_routes_tables(self):
         self.assertEqual(len(self.rows('show backends where service = "ledger"')), 2)
         (route,) = self.rows('show routes where prefix = "/reserve/"')
         self.assertEqual((route["kind"], route["attempts"]), ("not_repeatable", 3))
 
-    def test_jobs_and_versions_at_the_coordinator(self):
+    def test_jobs_and_versions_tables_on_the_coordinator(self):
         self.deployment.name_version(2)
         self.assertEqual(self.deployment.submit("edge-0", "job", ["job-g0-0"]), 202)
         query = 'show jobs where job = "job"'
@@ -48,68 +48,70 @@
         self.assertEqual(versions, [{"model": "allocation", "version": 2}])
         self.assertEqual(self.rows(query), [])
 
-    def test_faulty_query_is_refused_with_a_hint(self):
+    def test_query_of_an_unknown_table_suggests_a_table(self):
         with self.assertRaises(RunkeelError) as caught:
             self.rows("show backend")
         self.assertEqual(caught.exception.code, "bad_command")
         self.assertIn("backends", caught.exception.detail)
 
-    def refusal(self, text, node="edge-0"):
+    def expect_rejection(self, text, node="edge-0"):
         with self.assertRaises(RunkeelError) as caught:
             OperatorClient(self.url(node)).send(text)
         self.assertIs(caught.exception.verdict, Verdict.NOT_RUN)
         return caught.exception
 
-    def test_commands_that_would_write_what_is_somebody_elses_name_the_owner(self):
+    def test_forbidden_command_names_the_owner_of_the_object(self):
         for text, owner in (
             ("deploy model allocation version 3", "trainer"),
             ("drain backend a0", "server says itself"),
             ("set model allocation rollout_paused true", "operator's"),
         ):
             with self.subTest(text):
-                error = self.refusal(text)
+                error = self.expect_rejection(text)
                 self.assertEqual(error.code, ErrorCode.FORBIDDEN)
                 self.assertIn(owner, error.detail)
 
-    def test_command_that_is_not_understood(self):
-        self.assertEqual(self.refusal("dance").code, ErrorCode.BAD_COMMAND)
+    def test_unknown_command_is_a_bad_command(self):
+        self.assertEqual(self.expect_rejection("dance").code, ErrorCode.BAD_COMMAND)
 
-    def test_node_stops_as_planned_when_it_is_told_itself(self):
+    def test_stop_command_stops_only_the_node_that_receives_it(self):
         process = self.deployment.node("edge-1")
         client = OperatorClient(self.url("edge-1"))
-        self.assertEqual(self.refusal("stop node edge-0", "edge-1").code, ErrorCode.FORBIDDEN)
-        answer = client.send("stop node edge-1 --dry-run")
-        self.assertEqual(answer.document["outcome"], "would be accepted")
+        self.assertEqual(
+            self.expect_rejection("stop node edge-0", "edge-1").code, ErrorCode.FORBIDDEN
+        )
+        response = client.send("stop node edge-1 --dry-run")
+        self.assertEqual(response.document["outcome"], "would be accepted")
         self.assertFalse(process.stop_requested.is_set())
         self.assertEqual(client.send("stop node edge-1").document["outcome"], "accepted")
         self.assertTrue(process.stop_requested.is_set())
 
-    def test_request_that_is_held_back_is_shown_and_let_go(self):
+    def test_quarantined_request_is_listed_and_released(self):
         path = "/count/crash"
         plan = self.deployment.crashes
         plan.paths.add(path)
         headers = {"Attempt-Id": "crash", "Deadline-Ms": "1500"}
-        held = 'show quarantine where state = "held"'
+        quarantined_query = 'show quarantine where state = "held"'
         for _ in range(20):
             self.deployment.call("edge-0", "POST", path, headers, b"rice")
             gevent.sleep(0.3)
-            if self.rows(held):
+            if self.rows(quarantined_query):
                 break
-        (row,) = self.wait(lambda: self.rows(held, "edge-1"))
+        (row,) = self.wait(lambda: self.rows(quarantined_query, "edge-1"))
         self.assertEqual((row["service"], row["ended"]), ("ledger", 3))
         plan.paths.clear()
         client = OperatorClient(self.url("edge-1"))
         command = f"release request {row['request']}"
         self.assertEqual(client.send(f"{command} --dry-run").document["outcome"], DRY_RUN)
-        self.assertEqual(len(self.rows(held)), 1)
+        self.assertEqual(len(self.rows(quarantined_query)), 1)
         self.assertEqual(client.send(command).document["outcome"], "accepted")
-        self.wait(lambda: not self.rows(held))
-        self.assertEqual(self.refusal(command).code, ErrorCode.NOT_FOUND)
+        self.wait(lambda: not self.rows(quarantined_query))
+        self.assertEqual(self.expect_rejection(command).code, ErrorCode.NOT_FOUND)
         gevent.sleep(1.0)
-        answer = self.deployment.call("edge-0", "POST", path, headers, b"rice")
-        self.assertEqual(answer.status, 200)
+        response = self.deployment.call("edge-0", "POST", path, headers, b"rice")
+        self.assertEqual(response.status, 200)
 
-    def test_command_line(self):
+    def test_ctl_runs_a_query(self):
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             code = run_ctl("show versions", self.url(self.coordinator), "json")
@@ -119,10 +121,10 @@
 class TenantQueriesTest(DeploymentTestCase):
     def rows(self, text, node):
         url = f"http://{self.deployment.node(node).metrics_address}"
-        answer = OperatorClient(url).send(text).document
-        return [dict(zip(answer["columns"], row, strict=True)) for row in answer["rows"]]
+        response = OperatorClient(url).send(text).document
+        return [dict(zip(response["columns"], row, strict=True)) for row in response["rows"]]
 
-    def test_tenants_usage_and_kept_jobs(self):
+    def test_tenants_usage_and_kept_jobs_tables(self):
         tenants = (tenant("parish", "p1", "p2", priority=2), tenant("school", "s"))
         settings = UsageSettings(1.0, 4.0)
         self.deployment = self.start(metrics=True, disks=3, tenants=tenants, usage=settings)
