--- a/src/runkeel/operators/__init__.py
+++ b/src/runkeel/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' query and command language."""
+"""Operators' query and command language, its HTTP routes, and the ``runkeel ctl`` client."""
--- a/src/runkeel/operators/client.py
+++ b/src/runkeel/operators/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of a node's operator routes, for the command line."""
+"""HTTP client of a node's operator routes, used by ``runkeel ctl``."""
 
 from __future__ import annotations
 
@@ -14,33 +14,34 @@
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, may_have_run, not_run
 
 CONNECT_TIMEOUT_SECONDS = 3.0
-ANSWER_TIMEOUT_SECONDS = 20.0
-QUERY_WORD = "show"
+RESPONSE_TIMEOUT_SECONDS = 20.0
+QUERY_KEYWORD = "show"
 _VERDICTS = {verdict.name.lower(): verdict for verdict in Verdict}
 
 
 @dataclass(frozen=True, slots=True)
-class NodeAnswer:
-    """A node's answer: a table of a query, or the outcome of a command."""
+class NodeResponse:
+    """Response of a node: the table of a query or the outcome of a command."""
 
     document: dict[str, Any]
 
     @property
     def is_table(self) -> bool:
-        """Whether it answers a query by rows."""
+        """Whether the response holds the rows of a query."""
         return "columns" in self.document
 
 
 def is_query(text: str) -> bool:
-    """Return whether a text is a query and not a command."""
-    return text.split(maxsplit=1)[:1] == [QUERY_WORD]
+    """Return whether a text is a query rather than a command."""
+    return text.split(maxsplit=1)[:1] == [QUERY_KEYWORD]
 
 
 class OperatorClient:
     """Sends commands and queries to one node.
 
     Args:
-        node: base URL such as ``http://127.0.0.1:8080``.
+        node: base URL such as ``http://127.0.0.1:8080``; the scheme may be left out.
+        token: bearer token; empty sends none.
 
     Raises:
         RunkeelError: BAD_REQUEST when the URL is malformed.
@@ -58,42 +59,42 @@
         self._port = port or 80
         self._token = token
 
-    def send(self, text: str, command_id: str | None = None) -> NodeAnswer:
+    def send(self, text: str, command_id: str | None = None) -> NodeResponse:
         """Send a command or query.
 
         Raises:
-            RunkeelError: the node's error; PEER_UNREACHABLE when no connection was made;
-                OUTCOME_UNKNOWN when the answer to a command was lost, with the command's id.
+            RunkeelError: the node's error; PEER_UNREACHABLE when no connection was made or a
+                query got no response; OUTCOME_UNKNOWN when a command got no response.
         """
         if is_query(text):
             return self._post("/v1/queries", {"query": text}, "")
         command_id = command_id or uuid.uuid4().hex
         return self._post("/v1/commands", {"command": text, "command_id": command_id}, command_id)
 
-    def _post(self, path: str, document: dict[str, Any], command_id: str) -> NodeAnswer:
+    def _post(self, path: str, document: dict[str, Any], command_id: str) -> NodeResponse:
         client = HTTPClient(
             self._host,
             self._port,
             connection_timeout=CONNECT_TIMEOUT_SECONDS,
-            network_timeout=ANSWER_TIMEOUT_SECONDS,
+            network_timeout=RESPONSE_TIMEOUT_SECONDS,
         )
         headers = {"Content-Type": "application/json"}
         if self._token:
             headers["Authorization"] = f"Bearer {self._token}"
         try:
             self._check_reachable(client)
-            status, body = self._exchange(client, path, json.dumps(document).encode(), headers)
+            status, body = self._send_request(client, path, json.dumps(document).encode(), headers)
         except (OSError, HTTPParseError, ValueError) as error:
-            raise self._lost(command_id, error) from error
+            raise self._connection_error(command_id, error) from error
         finally:
             client.close()
-        answer = _parse(body)
+        content = _parse_object(body)
         if status != 200:
-            raise _error_of(status, answer, command_id)
-        return NodeAnswer(answer)
+            raise _error_from_response(status, content, command_id)
+        return NodeResponse(content)
 
     def _check_reachable(self, client: HTTPClient) -> None:
-        """Open the connection first: a failure here proves that nothing was sent."""
+        """Open the connection in advance: a failure here proves that nothing was sent."""
         pool = client._connection_pool
         try:
             pool.return_socket(pool.get_socket())
@@ -102,29 +103,29 @@
                 ErrorCode.PEER_UNREACHABLE, f"node {self._host}:{self._port}: {error}"
             ) from error
 
-    def _exchange(
+    def _send_request(
         self, client: HTTPClient, path: str, body: bytes, headers: dict[str, str]
     ) -> tuple[int, bytes]:
         response = client.request("POST", path, body=body, headers=headers)
         return response.status_code, bytes(response.read())
 
-    def _lost(self, command_id: str, error: Exception) -> RunkeelError:
+    def _connection_error(self, command_id: str, error: Exception) -> RunkeelError:
         if not command_id:
             return not_run(ErrorCode.PEER_UNREACHABLE, f"node {self._host}:{self._port}: {error}")
         return may_have_run(
             ErrorCode.OUTCOME_UNKNOWN,
-            f"the answer was lost ({error}); show node tells whether it took effect",
+            f"no valid response to the command ({error}); check its effect with: show node",
         )
 
 
-def _parse(body: bytes) -> dict[str, Any]:
+def _parse_object(body: bytes) -> dict[str, Any]:
     document = json.loads(body)
     if not isinstance(document, dict):
-        raise ValueError("the answer is not a JSON object")
+        raise ValueError("the response body is not a JSON object")
     return document
 
 
-def _error_of(status: int, document: dict[str, Any], command_id: str) -> RunkeelError:
+def _error_from_response(status: int, document: dict[str, Any], command_id: str) -> RunkeelError:
     try:
         code = ErrorCode(document.get("code"))
     except ValueError:
@@ -132,5 +133,5 @@
     verdict = _VERDICTS.get(str(document.get("verdict")), Verdict.MAY_HAVE_RUN)
     detail = str(document.get("detail") or f"HTTP {status}")
     if command_id and verdict is Verdict.MAY_HAVE_RUN:
-        detail = f"{detail}; show node tells whether it took effect"
+        detail = f"{detail}; check the effect of the command with: show node"
     return RunkeelError(code, detail, verdict)
--- a/src/runkeel/operators/ctl.py
+++ b/src/runkeel/operators/ctl.py
@@ -1,4 +1,4 @@
-"""The ``runkeel ctl`` command line: one command, a watched query, or a prompt."""
+"""The ``runkeel ctl`` command line: a single command, a repeated query, or a prompt."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes that scripts can rely on."""
+    """Stable exit codes for scripts."""
 
     OK = 0
     REFUSED = 1
@@ -32,16 +32,17 @@
     watch: float = 0.0,
     token_file: Path | None = None,
 ) -> int:
-    """Run one command or query, or a prompt when there is none; return the exit code.
+    """Run one command or query, or a prompt if none is given; return the exit code.
 
     Args:
         node: base URL of any node.
         output_format: ``table`` or ``json``.
-        watch: repeat a query every so many seconds, until interrupted; 0 for once.
+        watch: seconds between repetitions of a query, until interrupted; 0 runs it once.
+        token_file: file that holds the operator's bearer token.
     """
-    problem = _usage_problem(command, output_format, watch)
-    if problem:
-        return _fail(problem, ExitCode.USAGE)
+    usage_error = _usage_error(command, output_format, watch)
+    if usage_error:
+        return _fail(usage_error, ExitCode.USAGE)
     try:
         token = token_file.read_text().strip() if token_file is not None else ""
         client = OperatorClient(node, token)
@@ -59,17 +60,17 @@
 
 
 def run_once(client: OperatorClient, command: str, output_format: str) -> ExitCode:
-    """Send one command or query and print the answer or the error."""
+    """Send one command or query and print the response or the error."""
     try:
-        answer = client.send(command)
+        response = client.send(command)
     except RunkeelError as error:
-        return _fail(f"{error.code}: {error.detail}", exit_code_of(error, is_query(command)))
-    render(answer, output_format)
+        return _fail(f"{error.code}: {error.detail}", exit_code_for(error, is_query(command)))
+    render(response, output_format)
     return ExitCode.OK
 
 
-def exit_code_of(error: RunkeelError, query: bool = False) -> ExitCode:
-    """Return the exit code that stands for an error."""
+def exit_code_for(error: RunkeelError, query: bool = False) -> ExitCode:
+    """Return the exit code for the error of a query or command."""
     if error.code in _USAGE_CODES:
         return ExitCode.USAGE
     if error.code is ErrorCode.PEER_UNREACHABLE:
@@ -79,7 +80,7 @@
     return ExitCode.OUTCOME_UNKNOWN
 
 
-def _usage_problem(command: str | None, output_format: str, watch: float) -> str:
+def _usage_error(command: str | None, output_format: str, watch: float) -> str:
     if output_format not in FORMATS:
         return f"format must be one of {', '.join(FORMATS)}, not {output_format!r}"
     if command is not None and not command.strip():
--- a/src/runkeel/operators/diagnostics.py
+++ b/src/runkeel/operators/diagnostics.py
@@ -21,7 +21,7 @@
 
     Args:
         column: column of the offending word, from 0.
-        word: the offending word; empty when the statement ends too early.
+        word: the offending word; empty if the problem is not a single word.
         candidates: words that are valid at that position.
     """
     candidates = sorted(set(candidates))
--- a/src/runkeel/operators/prompt.py
+++ b/src/runkeel/operators/prompt.py
@@ -1,4 +1,4 @@
-"""Interactive prompt with history and completion from the grammar."""
+"""Interactive prompt with a history file and completion from the grammar."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from runkeel.operators.values import field_names
 
 HISTORY_FILE = Path("~/.runkeel_history")
-_LEAVE = ("exit", "quit")
+_EXIT_COMMANDS = ("exit", "quit")
 _KIND_VERBS = ("set", "create", "delete")
 
 
@@ -25,7 +25,7 @@
     """Completes keywords, resources, columns, kinds and fields.
 
     Args:
-        resources: columns of each resource that the node offers.
+        resources: names of the node's tables, with the columns of each.
     """
 
     def __init__(self, resources: dict[str, list[str]]) -> None:
@@ -34,18 +34,18 @@
     def get_completions(
         self, document: Document, complete_event: CompleteEvent
     ) -> Iterable[Completion]:
-        """Yield what may complete the word before the cursor."""
+        """Yield completions of the word before the cursor."""
         text = document.text_before_cursor
-        fragment = "" if not text or text[-1] in " ,=<>" else text.split()[-1]
-        before = text[: len(text) - len(fragment)]
-        for word in sorted({*expected_keywords(before), *self._free_words(before)}):
-            if word.startswith(fragment):
-                yield Completion(word, start_position=-len(fragment))
-
-    def _free_words(self, before: str) -> Iterator[str]:
-        """Yield the names that fit where the grammar takes a free word."""
-        words = before.split()
-        if not words or not accepts_word(before):
+        prefix = "" if not text or text[-1] in " ,=<>" else text.split()[-1]
+        preceding = text[: len(text) - len(prefix)]
+        for word in sorted({*expected_keywords(preceding), *self._name_completions(preceding)}):
+            if word.startswith(prefix):
+                yield Completion(word, start_position=-len(prefix))
+
+    def _name_completions(self, preceding: str) -> Iterator[str]:
+        """Yield the names that are valid where the grammar accepts an arbitrary word."""
+        words = preceding.split()
+        if not words or not accepts_word(preceding):
             return
         if words == ["show"]:
             yield from self._resources
@@ -58,12 +58,14 @@
 
 
 def run_prompt(client: OperatorClient, run_line: Callable[[str], int]) -> int:
-    """Read and run lines until the end of input; return the last exit code.
+    """Read and run lines until the end of input or ``exit``; return the last exit code.
 
     Args:
         run_line: runs one line and returns its exit code.
     """
-    session = PromptSession(history=_history(), completer=CommandCompleter(_resources(client)))
+    session = PromptSession(
+        history=_history(), completer=CommandCompleter(_fetch_resources(client))
+    )
     code = 0
     while True:
         try:
@@ -72,13 +74,13 @@
             continue
         except EOFError:
             return code
-        if line in _LEAVE:
+        if line in _EXIT_COMMANDS:
             return code
         if line:
             code = run_line(line)
 
 
-def _resources(client: OperatorClient) -> dict[str, list[str]]:
+def _fetch_resources(client: OperatorClient) -> dict[str, list[str]]:
     try:
         document = client.send(f"show {RESOURCES}").document
     except RunkeelError:
