--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -11,7 +11,7 @@
 from runkeel.backends.http_connection import OutgoingRequest
 
 
-class AnswerClass(enum.Enum):
+class ResponseClass(enum.Enum):
     """Outcome of a request, from the status and headers of its response."""
 
     SUCCESS = "success"
@@ -137,7 +137,7 @@
 
     def classify(
         self, request_id: str, status: int, headers: Iterable[tuple[str, str]]
-    ) -> AnswerClass:
+    ) -> ResponseClass:
         """Classify a response by its status and headers."""
 
     def is_failed_attempt(self, status: int) -> bool:
--- a/src/runkeel/operators/fleet_routes.py
+++ b/src/runkeel/operators/fleet_routes.py
@@ -37,7 +37,7 @@
         self._node = node
         self._request_stop = request_stop
 
-    def answer(self, request: ClientRequest) -> ClientAnswer:
+    def answer(self, request: ClientRequest) -> ClientResponse:
         """Handle one request.
 
         Raises:
@@ -51,7 +51,7 @@
             return self._run_command(request.body)
         raise not_run(ErrorCode.NOT_FOUND, request.path)
 
-    def _run_query(self, body: bytes) -> ClientAnswer:
+    def _run_query(self, body: bytes) -> ClientResponse:
         from runkeel.operators.documents import parse_document, result_document, string_field
         from runkeel.operators.fleet_tables import FleetTables
         from runkeel.operators.local_queries import run_query
@@ -61,9 +61,9 @@
         FleetTables(self._node).register(sources)
         text = string_field(parse_document(body), "query")
         document = result_document(run_query(sources, text))
-        return ClientAnswer(200, [_JSON], json.dumps(document).encode())
+        return ClientResponse(200, [_JSON], json.dumps(document).encode())
 
-    def _run_command(self, body: bytes) -> ClientAnswer:
+    def _run_command(self, body: bytes) -> ClientResponse:
         from runkeel.operators.documents import parse_document, string_field
         from runkeel.operators.fleet_commands import FleetCommands
 
@@ -73,4 +73,4 @@
             self._node.node_id, self._request_stop, self._node.quarantine.ledger
         )
         outcome = commands.run(string_field(document, "command"), command_id)
-        return ClientAnswer(200, [_JSON], json.dumps(asdict(outcome)).encode())
+        return ClientResponse(200, [_JSON], json.dumps(asdict(outcome)).encode())
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -199,7 +199,7 @@
         calls = self._node.deferrable_calls
         limits = [(service, calls.limit_of(service)) for service in calls.services()]
         return [
-            (service, limit.limit, limit.under_way, calls.waiting(service))
+            (service, limit.limit, limit.calls_in_flight, calls.waiting(service))
             for service, limit in limits
         ]
 
