--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -94,6 +94,15 @@
         )
         self.addCleanup(self.scheduler.stop)
 
+    def _wait_for_run(self, item_id):
+        """Return a placed item's task once its greenlet has started the run."""
+        task = self.scheduler._running.of_item(item_id)
+        deadline = steady_seconds() + MAX_WAIT_SECONDS
+        while task.run is None:
+            self.assertLess(steady_seconds(), deadline, "the run did not start")
+            gevent.sleep(0.001)
+        return task
+
     def test_engine_that_refuses_connections_is_avoided_for_longer_than_a_full_one(self):
         """Guards against retrying items on dead engines as often as on full ones."""
         self.routing.apply(make_configuration())
@@ -137,9 +146,8 @@
         self.routing.apply(make_configuration())
         self.scheduler.add(self.state)
         self.scheduler._place_all()
-        gevent.sleep(0.01)
         item_id = f"{JOB_ID}-0"
-        task = self.scheduler._running.of_item(item_id)
+        task = self._wait_for_run(item_id)
         near = PartialText(["x"] * (MIN_EVENTS_AHEAD - 1), "7", [1])
         self.assertFalse(self.scheduler.lacks_text(item_id, near.precedence))
         far = PartialText(["x"] * MIN_EVENTS_AHEAD, "8", [1])
@@ -156,8 +164,7 @@
         self.routing.apply(make_configuration())
         self.scheduler.add(self.state)
         self.scheduler._place_all()
-        gevent.sleep(0.01)
-        task = self.scheduler._running.of_item(f"{JOB_ID}-0")
+        task = self._wait_for_run(f"{JOB_ID}-0")
         task.partial.pieces.append("x")
         task.partial.versions.append(2)
         self.assertFalse(self.scheduler.lacks_text(f"{JOB_ID}-0", (1, 50)))
