--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -15,7 +15,7 @@
 use_adapter()
 
 from runkeel_platform import settings as platform_settings  # noqa: E402
-from runkeel_platform.server_protocol import ServerProtocol, passed_on  # noqa: E402
+from runkeel_platform.server_protocol import ServerProtocol, forwarded_headers  # noqa: E402
 from runkeel_platform.translation import PlatformTranslator  # noqa: E402
 
 SETTINGS = {
@@ -176,7 +176,7 @@
             ("Deadline-Ms", "900"),
             ("X-Own", "kept"),
         )
-        self.assertEqual(passed_on(headers), [("X-Own", "kept")])
+        self.assertEqual(forwarded_headers(headers), [("X-Own", "kept")])
 
     def test_deadline_and_instance_are_set(self):
         outgoing = self.protocol.encode_plain(self._plain(("Deadline-Ms", "900")), BACKEND, 0.25)
--- a/tests/users_platform/test_layers.py
+++ b/tests/users_platform/test_layers.py
@@ -17,9 +17,9 @@
     server_protocol.STAMP,
     server_protocol.EXPECTED_INSTANCE,
     server_protocol.NOT_EXECUTED,
-    server_protocol.LAST_EVENT,
-    server_protocol.VERSIONS,
-    server_protocol.URGENCY,
+    server_protocol.LAST_EVENT_ID,
+    server_protocol.WEIGHT_VERSIONS,
+    server_protocol.PRIORITY_CLASS,
 )
 FIELDS = ("PathPrefix", "RouteType", "TrafficSplit", "FencingToken", "InternalPorts", "MinVersion")
 
--- a/tests/users_platform/test_server_entries.py
+++ b/tests/users_platform/test_server_entries.py
@@ -63,8 +63,8 @@
 def is_usable(entry):
     """The oracle: what the platform's page says of an entry, field by field."""
 
-    def whole(value, least):
-        return type(value) is int and least <= value <= 2**53
+    def whole(value, minimum):
+        return type(value) is int and minimum <= value <= 2**53
 
     def name(value):
         return type(value) is str and value.strip() and value.isprintable() and len(value) <= 1000
@@ -150,13 +150,13 @@
             self.assertEqual(backend.slots, entry["Slots"])
 
     def test_fuzz_finds_a_parser_that_lets_one_field_pass(self):
-        def lenient(fields, name, least, most=entry_fields.LARGEST_WHOLE_NUMBER):
+        def lenient(fields, name, minimum, maximum=entry_fields.MAX_SAFE_INTEGER):
             return int(fields.get(name) or 1)
 
         for name, replacement in (
-            ("whole_number", lenient),
+            ("read_integer", lenient),
             ("_state", lambda fields: str(fields.get("State"))),
-            ("text", lambda fields, name: str(fields.get(name))),
+            ("read_string", lambda fields, name: str(fields.get(name))),
         ):
             run = settings(max_examples=400, deadline=None, derandomize=True)(
                 given(entries())(self.check)
