--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs on the stand-in of the platform: results, versions, take-overs, lost machines."""
+"""Batch jobs on the simulated platform: results, versions, failover, lost machines."""
 
 import unittest
 
@@ -22,7 +22,7 @@
             self.assertTrue(result["Score"].endswith(f".score-{result['Id']}"))
             self.assertTrue(result["WeightVersions"])
 
-    def test_job_is_run_scored_and_listed_alike_everywhere(self):
+    def test_all_nodes_return_the_same_results_of_a_job(self):
         deployment = self.start()
         items = self.items("j1", 24)
         self.assertEqual(deployment.submit("edge-0", "j1", items), 202)
@@ -39,32 +39,32 @@
         deployment = self.start()
 
         def status():
-            answer = deployment.call("edge-0", "GET", "/runkeel/lots/none?AfterRevision=0")
-            return answer.status
+            response = deployment.call("edge-0", "GET", "/runkeel/lots/none?AfterRevision=0")
+            return response.status
 
-        # A node that has just started may not have been told of all machines that keep jobs.
+        # A node that has just started may not know all storage nodes yet.
         self.wait(lambda: status() != 503, seconds=2 * KEEPERS_TOLD_SECONDS)
         self.assertEqual(status(), 404)
         self.assertEqual(deployment.end("edge-0", "none"), 404)
         deployment.submit("edge-0", "j", self.items("j", 1))
-        answer = deployment.call("edge-0", "GET", "/runkeel/items/j?Id=other")
-        self.assertEqual(answer.status, 404)
+        response = deployment.call("edge-0", "GET", "/runkeel/items/j?Id=other")
+        self.assertEqual(response.status, 404)
 
     def test_body_of_an_item(self):
         deployment = self.start()
         deployment.submit("edge-0", "j", self.items("j", 2))
-        answer = deployment.call("edge-1", "GET", "/runkeel/items/j?Id=j-g0-1")
-        self.assertEqual(answer.body, b"body j-g0-1")
+        response = deployment.call("edge-1", "GET", "/runkeel/items/j?Id=j-g0-1")
+        self.assertEqual(response.body, b"body j-g0-1")
 
     def test_malformed_job_is_refused(self):
         deployment = self.start()
         for body in (b"", b"{", b'{"Items": 5}', b'{"Items": [{"Path": "/x"}]}'):
-            answer = deployment.call("edge-0", "POST", "/draft/x", {"Attempt-Id": "b"}, body)
-            self.assertEqual(answer.status, 400, body)
+            response = deployment.call("edge-0", "POST", "/draft/x", {"Attempt-Id": "b"}, body)
+            self.assertEqual(response.status, 400, body)
         target = "/runkeel/lots/x?AfterRevision=many"
         self.assertEqual(deployment.call("edge-0", "GET", target).status, 400)
 
-    def test_engines_that_fail_and_break_off(self):
+    def test_failing_engines_and_broken_connections(self):
         deployment = self.start(engines=3)
         for engine in deployment.engines:
             engine.faults.lost_share = 0.3
@@ -75,8 +75,8 @@
         completed = [result for result in results if result["State"] == "completed"]
         self.check_results(completed, [result["Id"] for result in completed])
 
-    def test_second_answer_of_an_earlier_run_is_not_taken(self):
-        """agreste hunt-cbe5-19: a piece stood twice in the text of a continued item (ORDER)."""
+    def test_late_events_of_an_earlier_run_are_ignored(self):
+        """The output of a resumed item contained the same event twice."""
         deployment = self.start(engines=3)
         for engine in deployment.engines:
             engine.faults.lost_share = 0.4
@@ -86,7 +86,7 @@
         results = self.wait_for_results(deployment, "edge-0", "j12", len(items))
         self.check_results(results, items)
 
-    def test_versions_are_moved_and_told(self):
+    def test_engines_load_the_named_version_and_results_list_it(self):
         deployment = self.start()
         deployment.name_version(2)
         self.wait(lambda: all(e.versions["allocation"] == 2 for e in deployment.engines))
@@ -96,7 +96,7 @@
         self.check_results(results, items)
         self.assertEqual({tuple(result["WeightVersions"]) for result in results}, {(2,)})
 
-    def test_version_that_changes_midway_is_told(self):
+    def test_results_list_a_version_change_during_generation(self):
         deployment = self.start(engines=1)
         deployment.engines[0].event_seconds = 0.05
         items = [f"j4-g{n}-{n}" for n in range(60) if event_count(f"j4-g{n}-{n}") > 20][:2]
@@ -107,7 +107,7 @@
         self.check_results(results, items)
         self.assertIn([1, 2], [result["WeightVersions"] for result in results])
 
-    def test_ended_job_reaches_no_engine_any_more(self):
+    def test_deleted_job_is_not_sent_to_engines(self):
         deployment = self.start()
         for engine in deployment.engines:
             engine.event_seconds = 0.1
@@ -119,20 +119,20 @@
         gevent.sleep(0.6)
         self.assertEqual(sum(len(engine.runs) for engine in deployment.engines), before)
 
-    def test_coordinator_dies_in_the_middle_of_a_job(self):
+    def test_coordinator_failover_during_a_job(self):
         deployment = self.start(disks=2)
         for engine in deployment.engines:
             engine.event_seconds = 0.03
         items = self.items("j6", 32)
         deployment.submit("edge-0", "j6", items)
-        seen = self.wait(lambda: deployment.results("edge-0", "j6"))
+        results_before = self.wait(lambda: deployment.results("edge-0", "j6"))
         deployment.kill_node(deployment.coordinators()[0])
         results = self.wait_for_results(deployment, "edge-1", "j6", len(items))
         self.check_results(results, items)
-        self.assertEqual(results[: len(seen)], seen)
+        self.assertEqual(results[: len(results_before)], results_before)
 
-    def test_successor_continues_long_items(self):
-        """sirca trouble-1: the longest items ran anew after a take-over, past their deadline."""
+    def test_new_coordinator_resumes_long_items(self):
+        """After a failover the longest items ran from the start and missed their deadline."""
         deployment = self.start(disks=2, engines=2)
         for engine in deployment.engines:
             engine.event_seconds = 0.05
@@ -145,8 +145,8 @@
         resumed = [run for engine in deployment.engines for run in engine.runs if run.resumed_after]
         self.assertEqual({run.request_id for run in resumed}, set(items))
 
-    def test_long_items_are_continued_though_all_likely_coordinators_died(self):
-        """agreste-grown scale-2: all storage machines lost power, and the texts with them."""
+    def test_long_items_resume_after_all_storage_nodes_restart(self):
+        """Partial outputs were lost when all storage nodes lost power."""
         deployment = self.start(disks=4, engines=2)
         disks = [name for name in deployment.node_names if name not in deployment.edge_names]
         for engine in deployment.engines:
@@ -163,7 +163,7 @@
         resumed = [run for engine in deployment.engines for run in engine.runs if run.resumed_after]
         self.assertEqual({run.request_id for run in resumed}, set(items))
 
-    def test_everything_dies_after_the_acceptance(self):
+    def test_accepted_job_survives_restart_of_all_nodes(self):
         deployment = self.start()
         items = self.items("j7", 12)
         self.assertEqual(deployment.submit("edge-0", "j7", items), 202)
@@ -174,7 +174,7 @@
         results = self.wait_for_results(deployment, "edge-1", "j7", len(items))
         self.check_results(results, items)
 
-    def test_store_that_loses_answers_and_refuses(self):
+    def test_store_that_loses_responses_and_refuses(self):
         deployment = self.start()
         deployment.store.lost_share = 0.4
         items = self.items("j8", 16)
@@ -182,7 +182,7 @@
         deployment.store.lost_share = 0.0
         deployment.store.refused = True
         gevent.sleep(0.5)
-        # The one disk that there is keeps the job for the store.
+        # The only storage node keeps a hint until the store is available again.
         self.assertEqual(deployment.submit("edge-0", "j9", self.items("j9", 1)), 202)
         deployment.store.refused = False
         self.check_results(
@@ -191,7 +191,7 @@
         results = self.wait_for_results(deployment, "edge-1", "j8", len(items))
         self.check_results(results, items)
 
-    def test_items_leave_a_slow_engine(self):
+    def test_items_move_away_from_a_slow_engine(self):
         deployment = self.start(engines=2)
         deployment.engines[0].faults.slow_factor = 30.0
         items = [f"j10-g{n}-{n}" for n in range(200) if event_count(f"j10-g{n}-{n}") > 20][:4]
@@ -201,7 +201,7 @@
         self.check_results(results, items)
         self.assertLess(steady_seconds() - started, 0.3 * 30)
 
-    def test_orders_come_from_one_holder_at_a_time(self):
+    def test_one_order_holder_at_a_time(self):
         deployment = self.start(disks=2, order_pause_seconds=0.5)
         deployment.name_version(2)
         self.wait(lambda: all(e.versions["allocation"] == 2 for e in deployment.engines))
