--- a/tests/users_platform/test_restarted_servers.py
+++ b/tests/users_platform/test_restarted_servers.py
@@ -1,4 +1,4 @@
-"""Servers that start again under the id that they had, and entries that another writer wrote."""
+"""Servers that restart under the same id, and invalid server entries."""
 
 import gevent
 
@@ -10,11 +10,8 @@
 ITEMS = 40
 
 
-class CrashingRequestUnderOneIdTest(CrashingRequestTest):
-    """A request that crashes servers that come back under their id.
-
-    Their entries never go, and no other id takes their addresses.
-    """
+class CrashingRequestSameIdTest(CrashingRequestTest):
+    """A request that crashes servers that restart under their id; their entries stay."""
 
     def setUp(self):
         super().setUp()
@@ -34,11 +31,11 @@
     def status(self, edge="edge-0"):
         self.sent += 1
         headers = {"Attempt-Id": f"count-{self.sent}", "Deadline-Ms": "1000"}
-        answer = self.deployment.call(edge, "POST", f"{COUNT_PREFIX}x", headers, b"rice")
-        return answer.status if answer is not None else 0
+        response = self.deployment.call(edge, "POST", f"{COUNT_PREFIX}x", headers, b"rice")
+        return response.status if response is not None else 0
 
     def restart(self, server):
-        """End a server without a word; returns once it is back under its id."""
+        """Crash a server and return its new incarnation once it has started."""
         self.deployment.crash(server)
         self.wait(lambda: server.heir is not None and server.heir.born_ms > server.born_ms)
         return server.heir
@@ -47,7 +44,7 @@
         state = self.node(name).directory.get(server.server_id)
         return state is not None and state.backend.start == str(server.born_ms)
 
-    def test_application_that_came_back_serves_again(self):
+    def test_restarted_application_serves_again(self):
         server = self.deployment.applications[0]
         self.assertEqual(self.status(), 200)
         self.deployment.crash(server)
@@ -56,8 +53,8 @@
         self.wait(lambda: server.heir is not None and self.known(server.heir))
         self.assertEqual([self.status(), self.status("edge-1")], [200, 200])
 
-    def test_engines_that_came_back_get_items_again(self):
-        """They were avoided for good: no item is given to an engine that has ended."""
+    def test_restarted_engines_receive_items(self):
+        """Restarted engines were still treated as crashed and got no items."""
         for engine in list(self.deployment.engines):
             self.restart(engine)
         items = [f"job-g{n // 4}-{n}" for n in range(ITEMS)]
@@ -67,7 +64,7 @@
         for engine in self.deployment.engines:
             self.assertTrue(engine.runs, engine.server_id)
 
-    def test_items_go_on_elsewhere_when_their_engine_starts_anew(self):
+    def test_items_resume_elsewhere_when_their_engine_restarts(self):
         for engine in self.deployment.engines:
             engine.event_seconds = 0.05
         items = [f"job-g{n // 4}-{n}" for n in range(12)]
@@ -78,15 +75,15 @@
         results = self.wait_for_results(self.deployment, "edge-0", "job", 12)
         self.assertEqual({result["State"] for result in results}, {"completed"})
 
-    def test_engine_that_came_back_with_an_older_version_is_moved_again(self):
+    def test_engine_restarted_with_an_older_version_is_updated(self):
         engine = self.deployment.engines[0]
         self.deployment.name_version(2)
         self.wait(lambda: set(engine.versions.values()) == {2})
         engine.versions = dict.fromkeys(engine.versions, 1)
-        after = self.restart(engine)
-        self.wait(lambda: set(after.versions.values()) == {2})
+        restarted = self.restart(engine)
+        self.wait(lambda: set(restarted.versions.values()) == {2})
 
-    def test_server_whose_entry_another_writer_broke_takes_no_new_work(self):
+    def test_server_with_an_invalid_entry_gets_no_new_requests(self):
         server = self.deployment.applications[0]
         objects = self.deployment.store.objects
         objects.put("servers", server.server_id, {**server.entry, "State": "paused"})
@@ -103,14 +100,14 @@
 
     def unreadable_rows(self, name):
         url = f"http://{self.deployment.node(name).metrics_address}"
-        answer = OperatorClient(url).send("show backends where unreadable = true").document
-        return [dict(zip(answer["columns"], row, strict=True)) for row in answer["rows"]]
+        response = OperatorClient(url).send("show backends where unreadable = true").document
+        return [dict(zip(response["columns"], row, strict=True)) for row in response["rows"]]
 
-    def test_request_that_runs_at_a_server_with_a_broken_entry_is_answered(self):
+    def test_request_in_flight_at_a_server_with_an_invalid_entry_completes(self):
         server = self.deployment.applications[0]
         server.work_seconds = 0.5
-        asking = gevent.spawn(self.status)
+        request = gevent.spawn(self.status)
         self.wait(lambda: server.running)
         self.deployment.store.objects.put("servers", server.server_id, None)
         self.wait(lambda: not self.node("edge-0").directory.of_service(APPLICATION))
-        self.assertEqual(asking.get(timeout=10.0), 200)
+        self.assertEqual(request.get(timeout=10.0), 200)
