--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -233,7 +233,7 @@
         return None
 
     def send_until_served(self, target, send_count=8):
-        """Send a request to the nodes in turn until it is served; return the attempts, 0 if it never was."""
+        """Send a request until it is served; return the attempts, 0 if it never was."""
         for number in range(send_count):
             if self.send(f"edge-{number % 3}", target) == 200:
                 return number + 1
--- a/tests/users_platform/test_lapsed_servers.py
+++ b/tests/users_platform/test_lapsed_servers.py
@@ -1,18 +1,6 @@
-"""Servers whose entries lapsed in an outage of the store serve again once they have come back.
+"""Servers whose entries expired during a store outage are used again after it.
 
-What users saw: for ten seconds and more every plain request got 503, on old routes and on those
-that had just been added, while batch jobs went on; only a restart of all nodes ended it.
-
-Order of events: the store is silent for five seconds and the entries of all servers lapse; it comes
-back, and a node hears of that from the store before it follows the coordinator again; the servers
-write their entries anew, unchanged; two seconds later the node gives all of them up.
-
-Cause: a coordinator tells its followers what changes in its own eyes. It had kept the servers
-through the outage, so that nothing changed when they came back; the node had not.
-
-Evidence: the node's line ``backends`` names all servers as gone two seconds after its line
-``store_regained``, and none as joined until it starts anew; from then on each of its answers is
-``no_backend`` under the newest configuration, while the coordinator's items run on those servers.
+A node that saw the expiry itself must not drop servers that the coordinator kept throughout.
 """
 
 import unittest
@@ -24,78 +12,78 @@
 from runkeel_lab.users_platform.deployment import APPLICATION, COUNT_PREFIX
 from tests.users_platform.deployment_case import DeploymentTestCase
 
-FIRST = "edge-0"
+EDGE = "edge-0"
 COORDINATOR = "disk-0"
 MARGIN_SECONDS = 0.5
 
 
-class LapsedServersTest(DeploymentTestCase):
+class ExpiredServersTest(DeploymentTestCase):
     def setUp(self):
         self.deployment = self.start(edges=2, disks=1, engines=1, applications=2)
         self.wait(lambda: self.deployment.coordinators() == [COORDINATOR])
-        self.node = self.deployment.node(FIRST).node
-        self.wait(lambda: self.node.follows_feed and self.known() == 2)
+        self.node = self.deployment.node(EDGE).node
+        self.wait(lambda: self.node.follows_feed and self.known_servers() == 2)
         self.requests = 0
 
-    def known(self):
+    def known_servers(self):
         return len(self.node.directory.of_service(APPLICATION))
 
     def status(self):
-        """Send a plain request to the node; returns the answer's status."""
+        """Send a plain request to the edge node and return the status of the response."""
         self.requests += 1
         headers = {"Attempt-Id": f"count-{self.requests}", "Deadline-Ms": "1000"}
-        answer = self.deployment.call(FIRST, "POST", f"{COUNT_PREFIX}x", headers, b"rice")
-        return answer.status if answer is not None else 0
+        response = self.deployment.call(EDGE, "POST", f"{COUNT_PREFIX}x", headers, b"rice")
+        return response.status if response is not None else 0
 
     def servers(self):
         return [*self.deployment.engines, *self.deployment.applications]
 
-    def lose_store(self, seconds):
-        """Let the store refuse everybody; the entries of all servers lapse meanwhile."""
+    def start_outage(self, seconds):
+        """Make the store refuse all requests and remove the entries of all servers."""
         self.deployment.store.refused = True
         gevent.sleep(seconds)
         for server in self.servers():
             self.deployment.store.objects.remove("servers", server.server_id)
 
-    def let_in(self, *names):
-        """End the outage for some machines only."""
+    def restore_store_access(self, *names):
+        """End the outage for the named nodes only."""
         for name in self.deployment.node_names:
             self.deployment.store_of(name).refused = name not in names
         self.deployment.store.refused = False
 
-    def end_outage_at_the_node(self):
-        """Let the node see what lapsed, before the coordinator does."""
-        lapsed_at = self.deployment.store.objects.revision
-        self.let_in(FIRST)
-        self.wait(lambda: self.node._backend_watcher.revision >= lapsed_at)
+    def end_outage_at_edge(self):
+        """End the outage for the edge node first, so that it sees the expiry itself."""
+        expired_revision = self.deployment.store.objects.revision
+        self.restore_store_access(EDGE)
+        self.wait(lambda: self.node._backend_watcher.revision >= expired_revision)
 
     def end_outage(self):
-        """Let the coordinator in too, which the node follows then; the servers come back."""
-        self.let_in(*self.deployment.node_names)
+        """End the outage for all nodes; the servers report again."""
+        self.restore_store_access(*self.deployment.node_names)
         self.wait(lambda: self.node.follows_feed)
         for server in self.servers():
             server.report_state()
         gevent.sleep(LAPSE_SECONDS + MARGIN_SECONDS)
 
-    def test_node_that_saw_the_lapse_itself_serves_again(self):
-        self.lose_store(OUTAGE_SECONDS + MARGIN_SECONDS)
-        self.end_outage_at_the_node()
+    def test_node_that_saw_the_expiry_itself_serves_again(self):
+        self.start_outage(OUTAGE_SECONDS + MARGIN_SECONDS)
+        self.end_outage_at_edge()
         self.end_outage()
         self.assertEqual([self.status() for _ in range(3)], [200] * 3)
-        self.assertEqual(self.known(), 2)
+        self.assertEqual(self.known_servers(), 2)
 
-    def test_node_that_tries_the_store_seldom_keeps_the_servers_meanwhile(self):
-        self.lose_store(OUTAGE_SECONDS + MARGIN_SECONDS)
+    def test_node_keeps_the_servers_until_it_reaches_the_store(self):
+        self.start_outage(OUTAGE_SECONDS + MARGIN_SECONDS)
         self.assertEqual(self.status(), 200)
-        self.end_outage_at_the_node()
+        self.end_outage_at_edge()
         self.assertEqual([self.status() for _ in range(3)], [200] * 3)
-        self.assertEqual(self.known(), 2)
+        self.assertEqual(self.known_servers(), 2)
 
-    def test_server_that_does_not_come_back_is_given_up_by_all(self):
+    def test_server_that_does_not_return_is_removed_on_all_nodes(self):
         lost = self.deployment.applications[0]
-        self.lose_store(OUTAGE_SECONDS + MARGIN_SECONDS)
+        self.start_outage(OUTAGE_SECONDS + MARGIN_SECONDS)
         lost.stop()
-        self.let_in(*self.deployment.node_names)
+        self.restore_store_access(*self.deployment.node_names)
         for server in self.servers():
             if server is not lost:
                 server.report_state()
--- a/tests/users_platform/test_planned_stop.py
+++ b/tests/users_platform/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts off no request, whenever it comes."""
+"""A graceful shutdown drops no request."""
 
 import unittest
 from unittest import mock
@@ -48,7 +48,7 @@
         )
         sock.sendall(head.encode())
 
-    def _answer(self, sock):
+    def _read_response(self, sock):
         data = b""
         while chunk := sock.recv(65536):
             data += chunk
@@ -56,43 +56,43 @@
                 break
         return data
 
-    def test_request_that_comes_as_the_listener_closes_is_answered(self):
-        """agreste trouble-2, snapshot fb6b4c10: LOST, the process ended under a request."""
+    def test_request_sent_while_the_listener_closes_completes(self):
+        """The process exited while a late request was still running."""
         stop = self._stop()
         self._sleep_until(ROTATION_SECONDS - 0.05)
         sock = self._connect()
         self._sleep_until(ROTATION_SECONDS + 0.05)
         self._request(sock, "late")
-        answer = gevent.spawn(self._answer, sock)
+        response = gevent.spawn(self._read_response, sock)
         stop.join()
-        # The process ends here, and its connections with it.
-        self.assertTrue(answer.ready())
-        self.assertIn(b"200 OK", answer.value)
+        # A real process would exit here and close its connections.
+        self.assertTrue(response.ready())
+        self.assertIn(b"200 OK", response.value)
 
-    def test_request_in_flight_is_answered_and_its_connection_closed(self):
+    def test_request_in_flight_completes_and_its_connection_closes(self):
         for server in self.deployment.applications:
             server.work_seconds = 0.8
         self._stop()
         sock = self._connect()
         self._request(sock, "slow")
-        answer = self._answer(sock)
-        self.assertIn(b"200 OK", answer)
-        self.assertIn(b"connection: close", answer.lower())
+        response = self._read_response(sock)
+        self.assertIn(b"200 OK", response)
+        self.assertIn(b"connection: close", response.lower())
 
-    def test_not_ready_at_once_and_ended_in_time(self):
+    def test_node_is_unready_at_once_and_stops_in_time(self):
         task = self._stop()
         gevent.sleep(0.05)
         self.assertEqual(self.process.ready, False)
         task.join(5.0)
         self.assertTrue(task.ready())
 
-    def test_last_requests_are_refused_with_a_time_to_come_back(self):
+    def test_last_requests_get_503_with_retry_after(self):
         sock = self._connect()
         self.process.refuse_clients()
         self._request(sock, "refused")
-        answer = self._answer(sock).lower()
-        self.assertIn(b"503", answer)
-        self.assertIn(b"retry-after", answer)
+        response = self._read_response(sock).lower()
+        self.assertIn(b"503", response)
+        self.assertIn(b"retry-after", response)
 
 
 if __name__ == "__main__":
