--- a/tests/users_platform/deployment_case.py
+++ b/tests/users_platform/deployment_case.py
@@ -1,4 +1,4 @@
-"""Common to the tests of the whole path: starts a deployment and waits for what it does."""
+"""Base class of tests that run a complete deployment."""
 
 import unittest
 
@@ -21,12 +21,12 @@
     def wait(self, condition, seconds=WAIT_TIMEOUT_SECONDS):
         deadline = steady_seconds() + seconds
         while not (value := condition()):
-            self.assertLess(steady_seconds(), deadline, "waited too long")
+            self.assertLess(steady_seconds(), deadline, "timed out waiting for the condition")
             gevent.sleep(0.02)
         return value
 
-    def whole_job(self, deployment, edge, job_id, count):
-        """Wait until all of a job's results are read; returns them."""
+    def wait_for_results(self, deployment, edge, job_id, count):
+        """Wait until all results of a job are available and return them."""
 
         def read():
             results = deployment.results(edge, job_id)
