--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -43,7 +43,7 @@
             return response.status
 
         # A node that has just started may not know all storage nodes yet.
-        self.wait(lambda: status() != 503, seconds=2 * KEEPERS_TOLD_SECONDS)
+        self.wait(lambda: status() != 503, seconds=2 * STORAGE_NODES_SETTLE_SECONDS)
         self.assertEqual(status(), 404)
         self.assertEqual(deployment.end("edge-0", "none"), 404)
         deployment.submit("edge-0", "j", self.items("j", 1))
--- a/tests/users_platform/test_cut_zone.py
+++ b/tests/users_platform/test_cut_zone.py
@@ -29,8 +29,8 @@
             self._inject_partition(node)
 
     def knows_all_storage_nodes(self, node):
-        known = node._election.keepers()
-        return known.complete and len(known.keepers) >= DISKS
+        known = node._election.storage_nodes()
+        return known.complete and len(known.nodes) >= DISKS
 
     def _inject_partition(self, node):
         """Make calls of a node across the partition fail after a delay."""
--- a/tests/users_platform/test_lapsed_servers.py
+++ b/tests/users_platform/test_lapsed_servers.py
@@ -66,14 +66,14 @@
         gevent.sleep(EXPIRED_BACKEND_GRACE_SECONDS + MARGIN_SECONDS)
 
     def test_node_that_saw_the_expiry_itself_serves_again(self):
-        self.start_outage(OUTAGE_SECONDS + MARGIN_SECONDS)
+        self.start_outage(MIN_OUTAGE_SECONDS + MARGIN_SECONDS)
         self.end_outage_at_edge()
         self.end_outage()
         self.assertEqual([self.status() for _ in range(3)], [200] * 3)
         self.assertEqual(self.known_servers(), 2)
 
     def test_node_keeps_the_servers_until_it_reaches_the_store(self):
-        self.start_outage(OUTAGE_SECONDS + MARGIN_SECONDS)
+        self.start_outage(MIN_OUTAGE_SECONDS + MARGIN_SECONDS)
         self.assertEqual(self.status(), 200)
         self.end_outage_at_edge()
         self.assertEqual([self.status() for _ in range(3)], [200] * 3)
@@ -81,7 +81,7 @@
 
     def test_server_that_does_not_return_is_removed_on_all_nodes(self):
         lost = self.deployment.applications[0]
-        self.start_outage(OUTAGE_SECONDS + MARGIN_SECONDS)
+        self.start_outage(MIN_OUTAGE_SECONDS + MARGIN_SECONDS)
         lost.stop()
         self.restore_store_access(*self.deployment.node_names)
         for server in self.servers():
