--- a/src/runkeel_lab/standins/__init__.py
+++ b/src/runkeel_lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems."""
+"""In-process stand-ins for external systems: document store, peer network, HTTP."""
--- a/src/runkeel_lab/standins/document_store.py
+++ b/src/runkeel_lab/standins/document_store.py
@@ -1,4 +1,4 @@
-"""An in-memory document store with conditions, watches, lost answers, outages and compaction."""
+"""In-memory document store with conditional writes, watches, compaction and injected faults."""
 
 from __future__ import annotations
 
@@ -24,21 +24,22 @@
 
 
 class StoreFault(enum.Enum):
-    """What happens to the next call that fits."""
+    """Fault injected into the next write."""
 
     DOWN = "down"
-    """Nothing is done; the caller is told."""
+    """The write is not executed; the caller gets an error saying so."""
     ANSWER_LOST = "answer_lost"
-    """The write is done, its answer is lost."""
+    """The write is executed, but the caller gets an unknown-outcome error."""
 
 
 class MemoryDocumentStore:
     """Implements :class:`runkeel.api.documents.DocumentStore` in memory.
 
     Attributes:
-        down: every call fails and does nothing.
-        call_seconds: every call takes so long.
-        calls: calls by method name; those for which an old answer will do are counted apart.
+        down: every call fails without being executed.
+        call_seconds: added latency of every call, in seconds.
+        calls: number of calls by method name; reads with ``Freshness.ANY_AGE`` are counted
+            under the name with the suffix ``_any_age``.
     """
 
     def __init__(self) -> None:
@@ -46,7 +47,7 @@
         self.call_seconds = 0.0
         self.calls: dict[str, int] = {}
         self._documents: dict[tuple[DocumentKind, str], Document] = {}
-        self._aged: tuple[int, dict[tuple[DocumentKind, str], Document]] | None = None
+        self._stale_snapshot: tuple[int, dict[tuple[DocumentKind, str], Document]] | None = None
         self._history: list[tuple[int, DocumentChange]] = []
         self._compacted = 0
         self._revision = 0
@@ -55,25 +56,25 @@
 
     @property
     def revision(self) -> int:
-        """The counter of changes."""
+        """Revision of the latest change."""
         return self._revision
 
     def fail_next_write(self, fault: StoreFault, times: int = 1) -> None:
-        """Let the next writes fail in some way."""
+        """Inject a fault into the next ``times`` writes."""
         self._faults.extend([fault] * times)
 
     def age(self) -> None:
-        """Answer from the present state, from now on, wherever an old answer will do."""
-        self._aged = self._revision, dict(self._documents)
+        """Serve all later reads with ``Freshness.ANY_AGE`` from a snapshot of the current state."""
+        self._stale_snapshot = self._revision, dict(self._documents)
 
     def compact(self) -> None:
-        """Forget the history and cut the watches."""
+        """Drop the change history, so that watches from older revisions fail."""
         self._compacted = self._revision
         self._history.clear()
-        self._wake()
+        self._notify_watches()
 
     def names(self, kind: DocumentKind) -> list[str]:
-        """Return the names of a kind's documents, sorted."""
+        """Return the sorted names of all documents of a kind."""
         return sorted(name for of_kind, name in self._documents if of_kind == kind)
 
     def everything(self) -> list[Document]:
@@ -81,11 +82,11 @@
         return list(self._documents.values())
 
     def put(self, kind: DocumentKind, name: str, content: Any) -> Document:
-        """Write without a condition, as an operator would."""
+        """Write a document unconditionally, as an operator would."""
         return self._store(kind, name, content)
 
     def remove(self, kind: DocumentKind, name: str) -> None:
-        """Remove a document, as the platform would."""
+        """Remove a document unconditionally, as the platform would."""
         document = self._documents.pop((kind, name), None)
         if document is not None:
             self._record(document, removed=True)
@@ -96,7 +97,6 @@
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
         freshness: Freshness = Freshness.CURRENT,
     ) -> DocumentList:
-        """Return all documents of a kind."""
         revision, documents = self._read("list", freshness)
         found = sorted(key for key in documents if key[0] == kind)
         return DocumentList(tuple(documents[key] for key in found), revision)
@@ -108,7 +108,6 @@
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
         freshness: Freshness = Freshness.CURRENT,
     ) -> Document | None:
-        """Return one document or None."""
         return self._read("get", freshness)[1].get((kind, name))
 
     def create(
@@ -118,14 +117,13 @@
         content: Any,
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> Document:
-        """Create a document."""
         fault = self._call("create", writes=True)
         current = self._documents.get((kind, name))
         if current is not None:
-            self._lose(fault)
+            self._raise_if_response_lost(fault)
             raise DocumentConflictError(kind, name, current)
         stored = self._store(kind, name, content)
-        self._lose(fault)
+        self._raise_if_response_lost(fault)
         return stored
 
     def replace(
@@ -136,14 +134,14 @@
         expected_revision: int,
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> Document:
-        """Replace the content if the revision is the expected one."""
+        """Replace the content if the document is at the expected revision."""
         fault = self._call("replace", writes=True)
         current = self._documents.get((kind, name))
         if current is None or current.revision != expected_revision:
-            self._lose(fault)
+            self._raise_if_response_lost(fault)
             raise DocumentConflictError(kind, name, current)
         stored = self._store(kind, name, content)
-        self._lose(fault)
+        self._raise_if_response_lost(fault)
         return stored
 
     def set_status(
@@ -153,23 +151,21 @@
         status: Any,
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> None:
-        """Replace the status of a document."""
         fault = self._call("set_status", writes=True)
         current = self._documents.get((kind, name))
         if current is not None:
             self._store(kind, name, current.content, status)
-        self._lose(fault)
+        self._raise_if_response_lost(fault)
 
     def delete(
         self, kind: DocumentKind, name: str, timeout_seconds: float = CALL_TIMEOUT_SECONDS
     ) -> None:
-        """Remove a document."""
         fault = self._call("delete", writes=True)
         self.remove(kind, name)
-        self._lose(fault)
+        self._raise_if_response_lost(fault)
 
     def watch(self, kind: DocumentKind, revision: int, wait_seconds: float) -> DocumentChanges:
-        """Wait for changes of a kind after a revision."""
+        """Return the changes of a kind after a revision, waiting up to ``wait_seconds`` for one."""
         self._call("watch")
         with gevent.Timeout(wait_seconds or None, False):
             while not self._changes(kind, revision) and wait_seconds:
@@ -188,12 +184,12 @@
     def _read(
         self, method: str, freshness: Freshness
     ) -> tuple[int, dict[tuple[DocumentKind, str], Document]]:
-        """Return the revision and the documents that a read sees."""
+        """Return the revision and the documents that a read of the given freshness sees."""
         if freshness is Freshness.CURRENT:
             self._call(method)
             return self._revision, self._documents
         self._call(f"{method}_any_age")
-        return self._aged or (self._revision, self._documents)
+        return self._stale_snapshot or (self._revision, self._documents)
 
     def _call(self, method: str, writes: bool = False) -> StoreFault | None:
         self.calls[method] = self.calls.get(method, 0) + 1
@@ -208,9 +204,9 @@
             raise _unavailable(method)
         return fault
 
-    def _lose(self, fault: StoreFault | None) -> None:
+    def _raise_if_response_lost(self, fault: StoreFault | None) -> None:
         if fault is StoreFault.ANSWER_LOST:
-            raise may_have_run(ErrorCode.STORE_OUTCOME_UNKNOWN, "the answer was lost")
+            raise may_have_run(ErrorCode.STORE_OUTCOME_UNKNOWN, "the response was lost")
 
     def _store(self, kind: DocumentKind, name: str, content: Any, status: Any = None) -> Document:
         document = Document(kind, name, self._revision + 1, copy.deepcopy(content), status)
@@ -221,9 +217,9 @@
     def _record(self, document: Document, removed: bool) -> None:
         self._revision += 1
         self._history.append((self._revision, DocumentChange(document, removed)))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = Event()
 
--- a/src/runkeel_lab/standins/http.py
+++ b/src/runkeel_lab/standins/http.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the stand-ins, and the mapping to WSGI."""
+"""HTTP requests and responses of the stand-ins, mapped to WSGI."""
 
 from __future__ import annotations
 
@@ -19,34 +19,35 @@
 
 
 class BadRequestError(ValueError):
-    """The request is answered with 400 and this text."""
+    """Rejects a request with status 400 and the message as error text."""
 
 
 class Connection:
-    """The TCP connection that a request came on."""
+    """The TCP connection that a request was received on."""
 
     def __init__(self, raw_socket: Any) -> None:
         self._socket = raw_socket
 
     def abort(self) -> None:
-        """Close at once, as the kernel does for a killed process.
+        """Drop the connection at once, as the kernel does for a killed process.
 
-        Shut down rather than closed: the handler's own reference would keep a closed
-        socket open, and its next write must fail with ``EPIPE``, which it ignores.
+        Uses ``shutdown`` because the handler holds its own reference, which would keep the
+        socket open after ``close``. The handler's next write fails with ``EPIPE``, which it
+        ignores.
         """
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
 
 class AnswerAbortedError(OSError):
-    """Ends a handler whose connection was closed on purpose, without an answer."""
+    """Ends a handler whose connection was aborted by a fault, without a response."""
 
     def __init__(self) -> None:
-        super().__init__(errno.EPIPE, "connection closed by a fault")
+        super().__init__(errno.EPIPE, "connection aborted by a fault")
 
 
 class Handler(WSGIHandler):
-    """Handler that disables Nagle's algorithm and exposes the connection."""
+    """WSGI handler that disables Nagle's algorithm and exposes the connection."""
 
     def __init__(self, sock: Any, address: Any, server: Any, rfile: Any = None) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One HTTP request, its body read."""
+    """An HTTP request whose body has been read."""
 
     method: str
     path: str
@@ -89,20 +90,19 @@
 
     @property
     def connection(self) -> Connection:
-        """The connection that the request came on."""
+        """The connection that the request was received on."""
         return self.environ[CONNECTION_KEY]
 
     @property
     def segments(self) -> list[str]:
-        """Parts of the path between slashes."""
+        """The unquoted segments of the path."""
         return [unquote(part) for part in self.path.strip("/").split("/")]
 
     def header(self, name: str, default: str = "") -> str:
-        """Return a header's value."""
         return self.environ.get("HTTP_" + name.upper().replace("-", "_"), default)
 
     def identity(self) -> dict[str, str]:
-        """Return the journal's fields that identify the request."""
+        """Return the log fields that identify the request."""
         return {
             "request_id": self.header("X-Request-Id"),
             "key": self.header("Idempotency-Key"),
@@ -110,10 +110,10 @@
         }
 
     def integer(self, name: str, default: int) -> int:
-        """Return an integer of the query string.
+        """Return an integer parameter of the query string.
 
         Raises:
-            BadRequestError: the value is no integer.
+            BadRequestError: the value is not an integer.
         """
         try:
             return int(self.query.get(name, default))
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One HTTP response; an iterator as ``body`` is sent chunk by chunk."""
+    """An HTTP response; an iterator as ``body`` is sent chunk by chunk."""
 
     status: int
     body: bytes | Iterator[bytes]
@@ -152,7 +152,7 @@
         return headers
 
     def status_line(self) -> str:
-        """Return the code and its phrase."""
+        """Return the status code and its reason phrase."""
         return f"{self.status} {HTTPStatus(self.status).phrase}"
 
 
@@ -164,6 +164,6 @@
 
 
 def error_response(status: int, text: str, retry_after_seconds: int | None = None) -> Response:
-    """Build ``{"error": text}``, with ``Retry-After`` where given."""
+    """Build an ``{"error": text}`` response, with ``Retry-After`` if given."""
     headers = () if retry_after_seconds is None else (("Retry-After", str(retry_after_seconds)),)
     return json_response(status, {"error": text}, headers)
