--- a/src/runkeel_lab/standins/http.py
+++ b/src/runkeel_lab/standins/http.py
@@ -39,7 +39,7 @@
             self._socket.shutdown(socket.SHUT_RDWR)
 
 
-class AnswerAbortedError(OSError):
+class ResponseAbortedError(OSError):
     """Ends a handler whose connection was aborted by a fault, without a response."""
 
     def __init__(self) -> None:
--- a/src/runkeel_lab/users_platform/crash_soak.py
+++ b/src/runkeel_lab/users_platform/crash_soak.py
@@ -51,31 +51,31 @@
         innocent = [gevent.spawn(self._send_again, path, end) for path in self._innocent]
         return [*super()._start_tasks(end), *innocent]
 
-    def _crash_by_request(self, chance: random.Random) -> None:
+    def _crash_by_request(self, rng: random.Random) -> None:
         """Let a client come with a request that crashes servers, until the end."""
         paths = self._deployment.crashes.paths
         if len(paths) >= CRASHING_REQUESTS:
             return
-        prefix = chance.choice((COUNT_PREFIX, COUNT_PREFIX, RESERVE_PREFIX, CHAT_PREFIX))
+        prefix = rng.choice((COUNT_PREFIX, COUNT_PREFIX, RESERVE_PREFIX, CHAT_PREFIX))
         path = f"{prefix}crash-{len(paths)}"
         paths.add(path)
         end = self._began + self._seconds
-        gevent.spawn(self._send_again, path, end, random.Random(chance.random()))
+        gevent.spawn(self._send_again, path, end, random.Random(rng.random()))
 
-    def _crash_by_chance(self, chance: random.Random) -> None:
+    def _crash_by_chance(self, rng: random.Random) -> None:
         """End one server, or all of a service at once."""
-        servers = chance.choice((self._deployment.applications, self._deployment.engines))
-        count = chance.choice((1, 1, 1, len(servers)))
-        for server in chance.sample(servers, count):
+        servers = rng.choice((self._deployment.applications, self._deployment.engines))
+        count = rng.choice((1, 1, 1, len(servers)))
+        for server in rng.sample(servers, count):
             if not server.ended:
                 self._deployment.crash(server)
 
-    def _send_again(self, path: str, end: float, chance: random.Random | None = None) -> None:
+    def _send_again(self, path: str, end: float, rng: random.Random | None = None) -> None:
         while steady_seconds() < end:
             edges = self._deployment.edge_names
-            edge = chance.choice(edges) if chance is not None else edges[self._sends % len(edges)]
+            edge = rng.choice(edges) if rng is not None else edges[self._sends % len(edges)]
             gevent.spawn(self._send_once, edge, path)
-            pause = chance.uniform(*AGAIN_SECONDS) if chance is not None else INNOCENT_SECONDS
+            pause = rng.uniform(*AGAIN_SECONDS) if rng is not None else INNOCENT_SECONDS
             gevent.sleep(pause)
 
     def _send_once(self, edge: str, path: str) -> int:
--- a/src/runkeel_lab/users_platform/crashes.py
+++ b/src/runkeel_lab/users_platform/crashes.py
@@ -1,4 +1,4 @@
-"""Requests under which the servers that run them end, and what became of each."""
+"""Requests that crash the servers running them, and a record of these crashes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashEvent:
-    """A request at a server: it began to run it, or ended under it; ``at`` is steady time."""
+    """A server started to run a crashing request, or crashed; ``at`` is steady time in seconds."""
 
     at: float
     path: str
@@ -19,16 +19,18 @@
 
 
 class CrashPlan:
-    """Which requests end their servers; shared by all servers of a deployment.
+    """Defines which requests crash servers; shared by all servers of a deployment.
 
     Args:
-        on_ended: called with each server that has ended, to start another one in its place.
+        on_ended: called with each crashed server, to start its replacement.
 
     Attributes:
-        paths: requests to these end the server that runs them.
-        seconds: from the beginning of the run to the server's end.
-        restart_seconds: from its end to the start of the next server in its place.
-        keeps_id: the next server bears the same id.
+        paths: a request to one of these paths crashes the server that runs it.
+        seconds: time from the start of the run to the crash.
+        restart_seconds: time from the crash to the start of the replacement.
+        keeps_id: whether the replacement is started under the same id.
+        reached: one event for each time that a server started to run a crashing request.
+        ended: one event for each crash by a request.
     """
 
     def __init__(self, on_ended: Callable[[Any], None]) -> None:
@@ -41,20 +43,20 @@
         self.ended: list[CrashEvent] = []
 
     def crashes(self, path: str) -> bool:
-        """Return whether a request ends the server that runs it."""
+        """Return whether a request to this path crashes the server that runs it."""
         return path in self.paths
 
-    def note_reached(self, path: str, server_id: str) -> None:
-        """Take note that a server begins to run such a request."""
+    def record_reached(self, path: str, server_id: str) -> None:
+        """Record that a server starts to run a crashing request."""
         self.reached.append(CrashEvent(steady_seconds(), path, server_id))
 
-    def note_ended(self, path: str, server: Any) -> None:
-        """Take note that a server has ended under such a request."""
+    def record_crash(self, path: str, server: Any) -> None:
+        """Record that a server has crashed, and start its replacement."""
         self.ended.append(CrashEvent(steady_seconds(), path, server.server_id))
         self._on_ended(server)
 
     def reached_late(self, path: str, seconds: float, ends: int = 3) -> int:
-        """Return how often servers were reached so long after the last of the first ends."""
+        """Count the runs started more than ``seconds`` after the ``ends``-th crash."""
         of_path = [event.at for event in self.ended if event.path == path]
         if len(of_path) < ends:
             return 0
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment on the stand-in of the platform: nodes, servers, clients and trainers."""
+"""A deployment on the stand-in platform: nodes, servers, and calls of clients and trainers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 use_adapter()
 
-from runkeel_platform.process import NodeProcess  # noqa: E402  (the adapter's path is set above)
+from runkeel_platform.process import NodeProcess  # noqa: E402  (use_adapter() must run first)
 from runkeel_platform.settings import ProcessSettings  # noqa: E402
 
 HOST = "pantry.example"
@@ -40,11 +40,11 @@
 SCORE_PREFIX = "/score/"
 ZONES = ("a", "b", "c")
 _LOOPBACK = Address("127.0.0.1", 0)
-_CALL_SECONDS = 3.0
+_CALL_TIMEOUT_SECONDS = 3.0
 
 
 def route(name: str, prefix: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
-    """Build a route of the operator's configuration."""
+    """Build a route in the operator's configuration format."""
     return {
         "Name": name,
         "Host": HOST,
@@ -60,7 +60,7 @@
 
 
 def tenant(name: str, *keys: str, priority: int | None = None) -> dict[str, Any]:
-    """Build a tenant of the operator's configuration."""
+    """Build a tenant in the operator's configuration format."""
     built: dict[str, Any] = {"Name": name, "ApiKeys": list(keys)}
     return built if priority is None else {**built, "Priority": priority}
 
@@ -70,7 +70,7 @@
     more_routes: tuple[dict[str, Any], ...] = (),
     tenants: tuple[dict[str, Any], ...] = (),
 ) -> dict[str, Any]:
-    """Build a configuration with a route of each kind."""
+    """Build a configuration with at least one route of each kind."""
     routes = [
         route("count", COUNT_PREFIX, "idempotent", APPLICATION),
         route("reserve", RESERVE_PREFIX, "non_idempotent", APPLICATION),
@@ -88,8 +88,8 @@
 
 
 @dataclass(slots=True)
-class _Slot:
-    """A machine: its settings, its way to the store and the process that runs on it."""
+class _Machine:
+    """A machine: its settings, its endpoint of the store, and its process while one runs."""
 
     settings: ProcessSettings
     store: StoreServer
@@ -97,15 +97,17 @@
 
 
 class Deployment:
-    """Nodes in one process; each can be killed and started again.
+    """Several nodes in one process; each can be killed and restarted.
 
     Args:
-        order_pause_seconds: least time between the orders of two nodes.
-        metrics: whether nodes serve counters and operators' queries.
-        tenants: of the first configuration; none: requests need no key.
-        usage: what is to be reported of the tenants' usage; None: nothing.
-        tolerated_losses: of machines with disks; None: a minority of them.
-        tolerated_zones: zones that may be lost whole.
+        edges: number of machines that serve clients.
+        disks: number of machines with a disk.
+        order_pause_seconds: minimum time between orders of two different nodes.
+        metrics: whether nodes serve metrics and operators' queries.
+        tenants: tenants of the initial configuration; if empty, requests need no key.
+        usage: settings of usage reports; None disables them.
+        tolerated_losses: number of machines with disks that may be lost; None: a minority.
+        tolerated_zones: number of whole zones that may be lost.
     """
 
     def __init__(
@@ -130,7 +132,7 @@
         self._starts = 0
         self._successors = 0
         self.former_servers: list[PlatformServer] = []
-        """Those in whose place others are now; they know what they ran."""
+        """Crashed servers that were replaced, kept for the record of their runs."""
         self.duties = DutyServer()
         self.duties.start()
         self.store = StoreServer(seed)
@@ -148,7 +150,7 @@
             server.plan = self.crashes
         self._order_pause_seconds = order_pause_seconds
         self._metrics = _LOOPBACK if metrics else None
-        self._machines: dict[str, _Slot] = {}
+        self._machines: dict[str, _Machine] = {}
         self._disks = tempfile.TemporaryDirectory(prefix="runkeel-disks-")
         for number in range(edges):
             self._add_machine(f"edge-{number}", ZONES[number % 3], serves_clients=True)
@@ -156,7 +158,7 @@
             self._add_machine(f"disk-{number}", ZONES[number % 3], serves_clients=False)
 
     def start(self) -> None:
-        """Put the configuration in place, start the servers and the nodes."""
+        """Write the initial configuration, then start the servers and the nodes."""
         self.configure(configuration(1, tenants=self._tenants))
         for server in [*self.engines, *self.applications]:
             server.start()
@@ -164,20 +166,19 @@
             self.start_node(name, first=True)
 
     def stop(self) -> None:
-        """Stop everything."""
         self._stopped = True
         for name in self._machines:
             self.kill_node(name)
         for server in [*self.engines, *self.applications]:
             server.stop()
-        for slot in self._machines.values():
-            slot.store.stop()
+        for machine in self._machines.values():
+            machine.store.stop()
         self.store.stop()
         self.duties.stop()
         self._disks.cleanup()
 
     def crash(self, server: PlatformServer) -> None:
-        """End a server without a word, as by chance; another one comes in its place."""
+        """Crash a server, and start its replacement after ``crashes.restart_seconds``."""
         if not server.ended:
             server.crash()
             self._replace_crashed(server)
@@ -196,72 +197,76 @@
         servers[servers.index(server)] = after
 
     def configure(self, content: dict[str, Any]) -> None:
-        """Write a configuration, as the operator does."""
+        """Write a configuration to the store, as an operator does."""
         self.store.objects.put("config", "main", content)
 
     def name_version(self, version: int, model: str = MODEL) -> None:
-        """Name a weight version, as a trainer does."""
+        """Publish a weight version in the store, as a trainer does."""
         self.store.objects.put("versions", model, {"Model": model, "Version": version})
 
     @property
     def node_names(self) -> list[str]:
-        """All machines."""
+        """Names of all machines."""
         return list(self._machines)
 
     @property
     def edge_names(self) -> list[str]:
-        """Machines that serve clients."""
-        return [name for name, slot in self._machines.items() if slot.settings.frontend]
+        """Names of the machines that serve clients."""
+        return [name for name, machine in self._machines.items() if machine.settings.frontend]
 
     def node(self, name: str) -> NodeProcess | None:
-        """Return the process on a machine, None while it is down."""
+        """Return the process on a machine, or None while it is down."""
         return self._machines[name].process
 
     def store_of(self, name: str) -> StoreServer:
-        """Return a machine's way to the store, which can be disturbed alone."""
+        """Return a machine's own store endpoint, for faults that affect only this machine."""
         return self._machines[name].store
 
     def coordinators(self) -> list[str]:
-        """Return the machines that believe to coordinate."""
-        running = [(name, slot.process) for name, slot in self._machines.items() if slot.process]
+        """Return the names of the machines that consider themselves coordinator."""
+        running = [
+            (name, machine.process) for name, machine in self._machines.items() if machine.process
+        ]
         return [name for name, process in running if process.node.coordinating]
 
     def start_node(self, name: str, first: bool = False) -> None:
         """Start the process of a machine.
 
         Args:
-            first: the disks of all machines are new, and nothing can have been on them.
+            first: whether all machines have new, empty disks.
         """
-        slot = self._machines[name]
+        machine = self._machines[name]
         self._starts += 1
-        fleet = replace(slot.settings.fleet, incarnation=self._starts)
-        if slot.settings.frontend is None:
+        fleet = replace(machine.settings.fleet, incarnation=self._starts)
+        if machine.settings.frontend is None:
             fleet = replace(fleet, first_start=first)
-        slot.process = NodeProcess(replace(slot.settings, fleet=fleet))
-        slot.process.start()
+        machine.process = NodeProcess(replace(machine.settings, fleet=fleet))
+        machine.process.start()
 
     def kill_node(self, name: str) -> None:
-        """End a machine's process without warning."""
-        slot = self._machines[name]
-        process, slot.process = slot.process, None
+        """Kill a machine's process without draining it."""
+        machine = self._machines[name]
+        process, machine.process = machine.process, None
         if process is not None:
             process.kill()
 
     def stop_node(self, name: str) -> None:
-        """Stop a machine's process as planned; returns once it is gone, also if it was killed."""
-        slot = self._machines[name]
-        process = slot.process
+        """Drain and stop a machine's process; return once it is gone, even if it was killed."""
+        machine = self._machines[name]
+        process = machine.process
         if process is None:
             return
         process.drain_and_stop()
-        if slot.process is process:
-            slot.process = None
+        if machine.process is process:
+            machine.process = None
 
     def wait_ready(self, seconds: float = 10.0) -> None:
-        """Wait until every running node knows the configuration and one coordinates."""
+        """Wait until a coordinator is elected and every running node has a configuration."""
         with gevent.Timeout(seconds):
             while not self.coordinators() or not all(
-                slot.process.node.configured for slot in self._machines.values() if slot.process
+                machine.process.node.configured
+                for machine in self._machines.values()
+                if machine.process
             ):
                 gevent.sleep(0.02)
 
@@ -272,9 +277,9 @@
         target: str,
         headers: dict[str, str] | None = None,
         body: bytes = b"",
-        seconds: float = _CALL_SECONDS,
+        seconds: float = _CALL_TIMEOUT_SECONDS,
     ) -> HttpAnswer | None:
-        """Send a client's request to an edge node; None when it gave no answer."""
+        """Send a client's request to an edge node; return None if there was no response."""
         process = self._machines[edge].process
         if process is None:
             return None
@@ -296,7 +301,7 @@
         key: str = "",
         item_headers: dict[str, str] | None = None,
     ) -> int:
-        """Submit a batch job; returns the status, 0 without an answer."""
+        """Submit a batch job; return the HTTP status, 0 without a response."""
         body = {
             "Step": 0,
             "Model": MODEL,
@@ -305,25 +310,25 @@
             "Items": [_item(item_id, item_headers or {}) for item_id in items],
         }
         headers = {"Attempt-Id": job_id, "Content-Type": "application/json", **with_key(key)}
-        answer = self.call(
+        response = self.call(
             edge, "POST", f"{DRAFT_PREFIX}{job_id}", headers, json.dumps(body).encode()
         )
-        return answer.status if answer is not None else 0
+        return response.status if response is not None else 0
 
     def results(
         self, edge: str, job_id: str, position: int = 0, key: str = ""
     ) -> list[dict[str, Any]] | None:
-        """Read a job's results; None without an answer of status 200."""
+        """Return a job's results, or None unless the response has status 200."""
         target = f"/runkeel/lots/{job_id}?AfterRevision={position}"
-        answer = self.call(edge, "GET", target, {"Wait-Ms": "200", **with_key(key)})
-        if answer is None or answer.status != 200:
+        response = self.call(edge, "GET", target, {"Wait-Ms": "200", **with_key(key)})
+        if response is None or response.status != 200:
             return None
-        return json.loads(answer.body)["Results"]
+        return json.loads(response.body)["Results"]
 
     def end(self, edge: str, job_id: str, key: str = "") -> int:
-        """End a job; returns the status, 0 without an answer."""
-        answer = self.call(edge, "DELETE", f"/runkeel/lots/{job_id}", with_key(key))
-        return answer.status if answer is not None else 0
+        """End a job; return the HTTP status, 0 without a response."""
+        response = self.call(edge, "DELETE", f"/runkeel/lots/{job_id}", with_key(key))
+        return response.status if response is not None else 0
 
     def _add_machine(self, name: str, zone: str, serves_clients: bool) -> None:
         fleet = FleetSettings(
@@ -351,11 +356,11 @@
             8.0,
             self.duties.address,
         )
-        self._machines[name] = _Slot(settings, store)
+        self._machines[name] = _Machine(settings, store)
 
 
 def with_key(key: str) -> dict[str, str]:
-    """Return the header that presents a key; none for an empty one."""
+    """Return the header that carries an API key; empty for an empty key."""
     return {"Authorization": f"Bearer {key}"} if key else {}
 
 
--- a/src/runkeel_lab/users_platform/duty_server.py
+++ b/src/runkeel_lab/users_platform/duty_server.py
@@ -1,4 +1,4 @@
-"""The platform's duty calls: takes reports of usage and writes down what reaches it."""
+"""The platform's endpoint for usage reports; it records the reports received."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from gevent.pywsgi import WSGIServer
 
 from runkeel.api.machines import Address
-from runkeel_lab.standins.http import AnswerAbortedError, Handler
+from runkeel_lab.standins.http import Handler, ResponseAbortedError
 
 _CONNECTION = "runkeel.connection"
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """One report that was taken."""
+    """A usage report that was accepted."""
 
     window: int
     counts: dict[str, int]
@@ -30,12 +30,12 @@
 
 
 class DutyServer:
-    """Takes reports as the platform does, and can lose answers or refuse.
+    """Accepts usage reports as the platform does, with injected faults.
 
     Attributes:
-        refused: answers 503.
-        lost: takes what comes and closes the connection without an answer.
-        delay_seconds: before an answer.
+        refused: every report is rejected with 503.
+        lost: reports are accepted, but the connection is aborted without a response.
+        delay_seconds: time between the acceptance of a report and the response.
     """
 
     def __init__(self) -> None:
@@ -43,30 +43,29 @@
         self.refused = False
         self.lost = False
         self.delay_seconds = 0.0
-        self._server = WSGIServer(("127.0.0.1", 0), self._answer, log=None, handler_class=Handler)
+        self._server = WSGIServer(
+            ("127.0.0.1", 0), self._handle_request, log=None, handler_class=Handler
+        )
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
         return Address("127.0.0.1", self._server.server_port)
 
     def start(self) -> None:
-        """Listen."""
         self._server.start()
 
     def stop(self) -> None:
-        """Fall silent."""
         self._server.stop(timeout=0)
 
     def counts_of(self, window: int) -> dict[str, int] | None:
-        """Return what was reported of a window; None: nothing was."""
+        """Return the first counts reported for a window, or None."""
         return next((one.counts for one in self.reports if one.window == window), None)
 
     def problems(self) -> list[str]:
-        """Return what breaks the platform's rules on singleton duties, by the reports taken."""
-        return [*self._windows_told_twice(), *self._tokens_out_of_order()]
+        """Return violations of the platform's rules on singleton duties among the reports."""
+        return [*self._conflicting_windows(), *self._token_violations()]
 
-    def _windows_told_twice(self) -> list[str]:
+    def _conflicting_windows(self) -> list[str]:
         first: dict[int, dict[str, int]] = {}
         return [
             f"window {one.window}: {one.counts} after {first[one.window]}"
@@ -74,7 +73,7 @@
             if first.setdefault(one.window, one.counts) != one.counts
         ]
 
-    def _tokens_out_of_order(self) -> list[str]:
+    def _token_violations(self) -> list[str]:
         problems = []
         for before, after in zip(self.reports, self.reports[1:], strict=False):
             if after.token < before.token:
@@ -83,7 +82,7 @@
                 problems.append(f"token {after.token} of {before.holder} and {after.holder}")
         return problems
 
-    def _answer(
+    def _handle_request(
         self, environment: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         body = json.loads(environment["wsgi.input"].read())
@@ -102,6 +101,6 @@
         gevent.sleep(self.delay_seconds)
         if self.lost:
             environment[_CONNECTION].abort()
-            raise AnswerAbortedError
+            raise ResponseAbortedError
         start_response("200 OK", [])
         return [b""]
--- a/src/runkeel_lab/users_platform/foreign_entries.py
+++ b/src/runkeel_lab/users_platform/foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of servers as another writer may leave them: each is wrong in one field."""
+"""Invalid server entries, as another writer might leave them in the store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 MISSING = object()
-"""The field is left out."""
+"""Marks a field that is left out."""
 
 WRONG_VALUES: dict[str, tuple[Any, ...]] = {
     "State": (MISSING, "paused", 17, None, "READY"),
@@ -20,21 +20,21 @@
     "Version": (17, None, ""),
     "ColdRemainingMs": (-1, "0", float("nan"), None, 10**400),
 }
-"""Values with which an entry names no server to use, by field."""
+"""Field -> values that make an entry unusable."""
 
 UNREADABLE: tuple[Any, ...] = (None, 17, "entry", [], {}, "\ud800", [[[]]])
-"""What may stand in place of a whole entry."""
+"""Values in place of a whole entry."""
 
 
 def changed(entry: dict[str, Any], field: str, value: Any) -> dict[str, Any]:
-    """Return an entry with another value of a field, or without it."""
+    """Return an entry with one field replaced, or removed for ``MISSING``."""
     rest = {name: kept for name, kept in entry.items() if name != field}
     return rest if value is MISSING else {**rest, field: value}
 
 
-def draw_wrong(entry: dict[str, Any], chance: random.Random) -> Any:
-    """Return what another writer makes of an entry; the same chance gives the same."""
-    if chance.random() < 0.2:
-        return chance.choice(UNREADABLE)
-    field = chance.choice(sorted(WRONG_VALUES))
-    return changed(entry, field, chance.choice(WRONG_VALUES[field]))
+def draw_invalid_entry(entry: dict[str, Any], rng: random.Random) -> Any:
+    """Return an invalid variant of an entry; repeatable with a seeded ``rng``."""
+    if rng.random() < 0.2:
+        return rng.choice(UNREADABLE)
+    field = rng.choice(sorted(WRONG_VALUES))
+    return changed(entry, field, rng.choice(WRONG_VALUES[field]))
--- a/src/runkeel_lab/users_platform/operations_soak.py
+++ b/src/runkeel_lab/users_platform/operations_soak.py
@@ -117,7 +117,7 @@
             "configure": self._configure,
             "outage": self._lose_store,
             "refuse": self._refuse_one,
-            "compact": lambda chance: self._deployment.store.objects.compact(),
+            "compact": lambda rng: self._deployment.store.objects.compact(),
         }
 
     def process(self, machine: str) -> Any:
@@ -156,18 +156,18 @@
         """Begin one act after another for a while; the plan is drawn by the seed."""
         for _ in range(self._random.randint(1, 4)):
             act = self._random.choice([*sorted(self._acts), *self._frequent_acts])
-            chance = random.Random(self._random.randrange(1 << 30))
+            rng = random.Random(self._random.randrange(1 << 30))
             self._report.faults[act] = self._report.faults.get(act, 0) + 1
             logger.info("act", code="act", act=act)
-            self._acts[act](chance)
+            self._acts[act](rng)
             gevent.sleep(self._random.uniform(*ACT_PAUSES_SECONDS))
 
-    def _stop(self, chance: random.Random) -> None:
+    def _stop(self, rng: random.Random) -> None:
         """Stop a machine as planned and start it again; now and then it is killed meanwhile."""
-        name = chance.choice(self._deployment.node_names)
-        gevent.spawn(self._restart, name, self.process(name), chance.uniform(0.0, 0.5))
-        if chance.random() < 0.2:
-            gevent.spawn_later(chance.uniform(0.0, 3.0), self._kill_named, name)
+        name = rng.choice(self._deployment.node_names)
+        gevent.spawn(self._restart, name, self.process(name), rng.uniform(0.0, 0.5))
+        if rng.random() < 0.2:
+            gevent.spawn_later(rng.uniform(0.0, 3.0), self._kill_named, name)
 
     def _restart(self, name: str, process: Any, pause: float) -> None:
         if process is None or process.stop_requested.is_set():
@@ -175,41 +175,41 @@
         process.stop_requested.set()
         self._deployment.stop_node(name)
         gevent.sleep(pause)
-        self._start_again(name)
+        self._start_if_down(name)
 
-    def _kill(self, chance: random.Random) -> None:
+    def _kill(self, rng: random.Random) -> None:
         coordinators = self._deployment.coordinators()
-        name = chance.choice([*self._deployment.node_names, *coordinators])
+        name = rng.choice([*self._deployment.node_names, *coordinators])
         self._kill_named(name)
-        gevent.spawn_later(chance.uniform(0.0, 1.0), self._start_again, name)
+        gevent.spawn_later(rng.uniform(0.0, 1.0), self._start_if_down, name)
 
     def _kill_named(self, name: str) -> None:
         self._killed_at[name] = steady_seconds()
         self._deployment.kill_node(name)
-        gevent.spawn_later(1.0, self._start_again, name)
+        gevent.spawn_later(1.0, self._start_if_down, name)
 
-    def _start_again(self, name: str) -> None:
+    def _start_if_down(self, name: str) -> None:
         if self.process(name) is None:
             self._deployment.start_node(name)
 
-    def _configure(self, chance: random.Random) -> None:
+    def _configure(self, rng: random.Random) -> None:
         """Write some versions in quick succession; each adds a route, and drops an old one."""
-        for _ in range(chance.randint(1, 3)):
-            self._version += chance.randint(1, 3)
+        for _ in range(rng.randint(1, 3)):
+            self._version += rng.randint(1, 3)
             self._added.append(f"/added{self._version}/")
             if len(self._added) > ADDED_ROUTES:
                 self._dropped.append(self._added.popleft())
             more = tuple(route(one, one, "idempotent", APPLICATION) for one in self._added)
             self._deployment.configure(configuration(self._version, more))
-            gevent.sleep(chance.uniform(0.05, 0.3))
+            gevent.sleep(rng.uniform(0.05, 0.3))
 
-    def _lose_store(self, chance: random.Random) -> None:
+    def _lose_store(self, rng: random.Random) -> None:
         """Let the store be away for a while; servers lapse, and it comes back bit by bit."""
-        gevent.spawn(self._outage, chance)
+        gevent.spawn(self._outage, rng)
 
-    def _outage(self, chance: random.Random) -> None:
-        way = chance.choice(("refused", "silent"))
-        seconds = chance.uniform(*OUTAGE_SECONDS)
+    def _outage(self, rng: random.Random) -> None:
+        way = rng.choice(("refused", "silent"))
+        seconds = rng.uniform(*OUTAGE_SECONDS)
         self._out += 1
         setattr(self._deployment.store, way, True)
         gevent.sleep(min(seconds, LAPSE_SECONDS))
@@ -221,15 +221,15 @@
         self._out -= 1
         if self._out:
             return
-        self._let_in_bit_by_bit(chance)
+        self._let_in_bit_by_bit(rng)
         for server in servers:
-            gevent.spawn_later(chance.uniform(*RETURN_SECONDS), self._write_entry, server)
+            gevent.spawn_later(rng.uniform(*RETURN_SECONDS), self._write_entry, server)
 
-    def _let_in_bit_by_bit(self, chance: random.Random) -> None:
+    def _let_in_bit_by_bit(self, rng: random.Random) -> None:
         doors = [self._deployment.store_of(name) for name in self._deployment.node_names]
         for door in doors:
             door.refused = True
-            gevent.spawn_later(chance.uniform(0.0, 0.6), setattr, door, "refused", False)
+            gevent.spawn_later(rng.uniform(0.0, 0.6), setattr, door, "refused", False)
         self._deployment.store.refused = self._deployment.store.silent = False
 
     def _write_entry(self, server: Any) -> None:
@@ -237,11 +237,11 @@
         if not self._out:
             server.report_state()
 
-    def _refuse_one(self, chance: random.Random) -> None:
+    def _refuse_one(self, rng: random.Random) -> None:
         """Let the store turn one machine away while it serves the others."""
-        door = self._deployment.store_of(chance.choice(self._deployment.node_names))
+        door = self._deployment.store_of(rng.choice(self._deployment.node_names))
         door.refused = True
-        gevent.spawn_later(chance.uniform(0.5, 3.0), setattr, door, "refused", False)
+        gevent.spawn_later(rng.uniform(0.5, 3.0), setattr, door, "refused", False)
 
     def _watch_versions(self, end: float) -> None:
         """See that no process goes back to an older configuration."""
@@ -260,7 +260,7 @@
     def _heal(self) -> None:
         gevent.sleep(QUIET_SECONDS)
         for name in self._deployment.node_names:
-            self._start_again(name)
+            self._start_if_down(name)
         self._deployment.wait_ready()
         gevent.sleep(QUIET_SECONDS)
 
--- a/src/runkeel_lab/users_platform/replay.py
+++ b/src/runkeel_lab/users_platform/replay.py
@@ -54,7 +54,7 @@
                 gevent.sleep(max(0.0, began + event.at - steady_seconds()))
                 tasks.append(gevent.spawn(self._act, event))
             gevent.joinall(tasks)
-            self._faults.heal()
+            self._faults.wait_until_recovered()
             self._check_jobs()
             self._check_requests()
         finally:
@@ -66,8 +66,8 @@
             self._submit(event)
         elif event.act == "request":
             self._request(event)
-        elif self._faults.knows(event.act):
-            self._faults.strike(event)
+        elif self._faults.is_fault(event.act):
+            self._faults.inject(event)
         else:
             self.violations.append(f"unknown act {event.act!r}")
 
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -1,4 +1,4 @@
-"""Application servers and engines of the platform; they write down what reaches them."""
+"""Application servers and engines of the platform; they record the requests and orders received."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 from runkeel.api.machines import Address
 from runkeel.clock import steady_seconds
-from runkeel_lab.standins.http import AnswerAbortedError, Connection, Handler
+from runkeel_lab.standins.http import Connection, Handler, ResponseAbortedError
 from runkeel_lab.users_platform.crashes import CrashPlan
 from runkeel_lab.users_platform.store_server import StoreServer
 
 LAPSE_SECONDS = 1.0
-"""The entry of a server that crashed goes after so long."""
+"""Time from a server's crash to the removal of its entry from the store."""
 
 _CONNECTION = "runkeel.connection"
 Environment = dict[str, Any]
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One request that a server ran."""
+    """A request that a server ran; ``started`` is steady time in seconds."""
 
     request_id: str
     path: str
@@ -36,12 +36,15 @@
     deadline_ms: str
     resumed_after: str
     headers: dict[str, str] = field(default_factory=dict, compare=False)
-    """All of its headers; names in lower case."""
+    """All headers of the request, with names in lower case."""
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order that an engine received; ``sent_at`` is when it arrived, taken late or not."""
+    """An order that an engine received.
+
+    ``sent_at`` is the steady time of its arrival in seconds, also if it is executed later.
+    """
 
     sent_at: float
     holder: str
@@ -52,7 +55,7 @@
 
 @dataclass(slots=True)
 class ServerFaults:
-    """What goes wrong at a server; shares are of the requests that it runs."""
+    """Faults of a server; shares are fractions of the requests that it runs."""
 
     failed_share: float = 0.0
     lost_share: float = 0.0
@@ -60,7 +63,7 @@
     slow_factor: float = 1.0
     unanswered_orders: float = 0.0
     stale_share: float = 0.0
-    """Share of the continued generations that are answered by an earlier run's events."""
+    """Share of resumed generations that start over at the first event."""
 
 
 class PlatformServer:
@@ -82,7 +85,7 @@
         self.plan: CrashPlan | None = None
         self.born_ms = 0
         self.heir: PlatformServer | None = None
-        """The next start under this id."""
+        """The next incarnation under this id."""
         self.seed = seed
         self._store = store
         self._random = random.Random(f"{seed} {server_id}")
@@ -90,71 +93,73 @@
         self._server = self._listener(0)
 
     def _listener(self, port: int) -> WSGIServer:
-        return WSGIServer(("127.0.0.1", port), self._answer, log=None, handler_class=Handler)
+        return WSGIServer(
+            ("127.0.0.1", port), self._handle_request, log=None, handler_class=Handler
+        )
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
         return Address("127.0.0.1", self._server.server_port)
 
     def start(self) -> None:
-        """Listen and enter the store's list."""
-        # Two starts within a millisecond would be one to everybody.
+        """Listen, and write the entry to the store."""
+        # Incarnations are told apart by this value, so it must grow even within a millisecond.
         self.born_ms = max(int(time.time() * 1000), self.born_ms + 1)
         try:
             self._server.start()
         except OSError:
-            # The address of the server before has gone to somebody else meanwhile.
+            # The port of the previous server has been reused by another process.
             self._server = self._listener(0)
             self._server.start()
         self.report_state()
 
     def stop(self) -> None:
-        """Fall silent; the entry goes."""
+        """Stop listening, and remove the entry."""
         self._server.stop(timeout=0)
         self._store.objects.remove("servers", self.server_id)
 
     def crash(self) -> None:
-        """End without a word: the listener and all connections at once, the entry later."""
+        """Abort the listener and all connections at once; the entry expires later."""
         if self.ended:
             return
         self.ended = True
         self._server.stop(timeout=0)
         for connection in self._connections:
             connection.abort()
-        gevent.spawn_later(LAPSE_SECONDS, self._lapse)
+        gevent.spawn_later(LAPSE_SECONDS, self._expire_entry)
 
-    def _lapse(self) -> None:
-        """Take the entry away, unless the next start has written it anew."""
+    def _expire_entry(self) -> None:
+        """Remove the entry, unless the next incarnation has written its own."""
         if self.heir is None:
             self._store.objects.remove("servers", self.server_id)
 
     def successor(self, number: int, keeps_id: bool = False) -> PlatformServer:
-        """Return what is started in this server's place, at the same address.
+        """Return a replacement for this server, not yet started, at the same address.
 
         Args:
-            number: makes its id, unless it keeps this one's.
+            number: suffix of the new id, unless the id is kept.
+            keeps_id: whether the replacement is the next incarnation under this id.
         """
         server_id = f"{self.server_id.partition('.')[0]}.{number}"
-        after = self._like(self.server_id if keeps_id else server_id)
+        replacement = self._new_instance(self.server_id if keeps_id else server_id)
         if keeps_id:
-            self.heir = after
-            after.born_ms = self.born_ms
-        after.plan, after.faults = self.plan, self.faults
-        after.work_seconds, after.slots = self.work_seconds, self.slots
-        after._server = after._listener(self.address.port)
-        return after
-
-    def _like(self, server_id: str) -> PlatformServer:
+            self.heir = replacement
+            replacement.born_ms = self.born_ms
+        replacement.plan, replacement.faults = self.plan, self.faults
+        replacement.work_seconds, replacement.slots = self.work_seconds, self.slots
+        replacement._server = replacement._listener(self.address.port)
+        return replacement
+
+    def _new_instance(self, server_id: str) -> PlatformServer:
         return PlatformServer(server_id, self.service, self.zone, self._store, self.seed)
 
     def drain(self) -> None:
-        """Say that this server takes no new work."""
+        """Report in the entry that this server takes no new work."""
         self.draining = True
         self.report_state()
 
     def report_state(self) -> None:
-        """Write this server's entry; one that has ended writes nothing more."""
+        """Write the server's entry, unless the server has ended."""
         if self.ended:
             return
         self._store.objects.put("servers", self.server_id, self._entry())
@@ -174,47 +179,49 @@
 
     @property
     def entry(self) -> dict[str, Any]:
-        """Its entry as it would write it now."""
+        """The entry for the current state."""
         return self._entry()
 
     @property
     def orders_taken(self) -> int:
-        """Orders since its start."""
+        """Number of orders that changed a weight version in this incarnation."""
         return 0
 
-    def _answer(self, environment: Environment, start_response: StartResponse) -> Iterable[bytes]:
+    def _handle_request(
+        self, environment: Environment, start_response: StartResponse
+    ) -> Iterable[bytes]:
         self._connections.append(environment[_CONNECTION])
         expected = environment.get("HTTP_EXPECT_INSTANCE")
         if expected and expected != self.server_id:
             start_response("421 Misdirected Request", [("Instance-Id", self.server_id)])
             return [b""]
         if environment["PATH_INFO"].startswith("/runkeel/"):
-            return self._answer_control(environment, start_response)
+            return self._handle_control(environment, start_response)
         if self.faults.refused or self.running >= 4 * self.slots:
             start_response("503 Service Unavailable", [("Not-Executed", "1")])
             return [b""]
         if self.plan is not None and self.plan.crashes(environment["PATH_INFO"]):
-            self._crash_under(environment)
+            self._crash_while_running(environment)
         return self._run(environment, start_response)
 
-    def _crash_under(self, environment: Environment) -> None:
-        """Begin to run a request, and end while doing so."""
+    def _crash_while_running(self, environment: Environment) -> None:
+        """Start to run a request, and crash while it is in flight."""
         environment["wsgi.input"].read()
-        self.plan.note_reached(environment["PATH_INFO"], self.server_id)
-        self._note_run(environment)
+        self.plan.record_reached(environment["PATH_INFO"], self.server_id)
+        self._record_run(environment)
         gevent.sleep(self.plan.seconds)
         if not self.ended:
             self.crash()
-            self.plan.note_ended(environment["PATH_INFO"], self)
-        raise AnswerAbortedError
+            self.plan.record_crash(environment["PATH_INFO"], self)
+        raise ResponseAbortedError
 
-    def _answer_control(
+    def _handle_control(
         self, environment: Environment, start_response: StartResponse
     ) -> Iterable[bytes]:
         start_response("404 Not Found", [])
         return [b""]
 
-    def _note_run(self, environment: Environment) -> str:
+    def _record_run(self, environment: Environment) -> str:
         request_id = environment.get("HTTP_ATTEMPT_ID", "")
         self.runs.append(
             Run(
@@ -230,7 +237,7 @@
 
     def _run(self, environment: Environment, start_response: StartResponse) -> Iterable[bytes]:
         body = environment["wsgi.input"].read()
-        request_id = self._note_run(environment)
+        request_id = self._record_run(environment)
         self.running += 1
         try:
             gevent.sleep(self.work_seconds * self.faults.slow_factor)
@@ -242,7 +249,7 @@
             return [b"failed"]
         if self._random.random() < self.faults.lost_share:
             environment[_CONNECTION].abort()
-            raise AnswerAbortedError
+            raise ResponseAbortedError
         start_response("200 OK", [*headers, ("Server-Stamp", f"{self.server_id}.{request_id}")])
         return [b"echo " + body]
 
@@ -257,9 +264,9 @@
 
 
 class PlatformEngine(PlatformServer):
-    """A model server: streams of events, weight versions, orders.
+    """A model server that streams events, holds weight versions and executes orders to load them.
 
-    The n-th event of a generation holds ``ID:n``, so that its whole text is known beforehand.
+    The n-th event of a generation contains ``ID:n``, so that the complete output is predictable.
     """
 
     def __init__(
@@ -282,15 +289,17 @@
 
     @property
     def orders_taken(self) -> int:
-        """Orders since its start."""
+        """Number of orders that changed a weight version in this incarnation."""
         return self._sequence
 
-    def _like(self, server_id: str) -> PlatformEngine:
+    def _new_instance(self, server_id: str) -> PlatformEngine:
         models = tuple(self.versions)
-        after = PlatformEngine(server_id, self.service, self.zone, self._store, self.seed, models)
-        after.versions = dict(self.versions)
-        after.event_seconds, after.load_seconds = self.event_seconds, self.load_seconds
-        return after
+        replacement = PlatformEngine(
+            server_id, self.service, self.zone, self._store, self.seed, models
+        )
+        replacement.versions = dict(self.versions)
+        replacement.event_seconds, replacement.load_seconds = self.event_seconds, self.load_seconds
+        return replacement
 
     def _entry(self) -> dict[str, Any]:
         models = [
@@ -299,15 +308,15 @@
         ]
         return {**super()._entry(), "Stage": "both", "Models": models}
 
-    def _answer_control(
+    def _handle_control(
         self, environment: Environment, start_response: StartResponse
     ) -> Iterable[bytes]:
         if environment["PATH_INFO"] == "/runkeel/report":
             start_response("200 OK", [("Content-Type", "application/json")])
             return [json.dumps(self._report()).encode()]
         if environment["PATH_INFO"] == "/runkeel/order":
-            return self._take_order(environment, start_response)
-        return super()._answer_control(environment, start_response)
+            return self._receive_order(environment, start_response)
+        return super()._handle_control(environment, start_response)
 
     def _report(self) -> dict[str, Any]:
         return {
@@ -321,29 +330,29 @@
             ],
         }
 
-    def _take_order(
+    def _receive_order(
         self, environment: Environment, start_response: StartResponse
     ) -> Iterable[bytes]:
         body = json.loads(environment["wsgi.input"].read())
         lost = self._random.random() < self.faults.unanswered_orders
         if lost:
             late = self._random.uniform(0.1, 1.0)
-            gevent.spawn_later(late, self._carry_out_late, body, steady_seconds())
+            gevent.spawn_later(late, self._execute_order_late, body, steady_seconds())
             environment[_CONNECTION].abort()
-            raise AnswerAbortedError
-        status = self._carry_out(body, steady_seconds())
+            raise ResponseAbortedError
+        status = self._execute_order(body, steady_seconds())
         start_response(status, [])
         return [b""]
 
-    def _carry_out_late(self, body: dict[str, Any], sent_at: float) -> None:
-        """Carry an order out, at the start that bears the id by now."""
-        present = self
-        while present.heir is not None:
-            present = present.heir
-        if not present.ended:
-            present._carry_out(body, sent_at)
+    def _execute_order_late(self, body: dict[str, Any], sent_at: float) -> None:
+        """Execute an order at the incarnation that holds the id by now."""
+        latest = self
+        while latest.heir is not None:
+            latest = latest.heir
+        if not latest.ended:
+            latest._execute_order(body, sent_at)
 
-    def _carry_out(self, body: dict[str, Any], sent_at: float) -> str:
+    def _execute_order(self, body: dict[str, Any], sent_at: float) -> str:
         fits = body.get("ExpectedRevision") in (None, self._sequence)
         accepted = fits and not self._busy
         self.orders.append(
@@ -355,17 +364,17 @@
             return "200 OK"
         self._sequence += 1
         self._busy = True
-        gevent.spawn_later(self.load_seconds, self._loaded, body["Model"], body["Version"])
+        gevent.spawn_later(self.load_seconds, self._finish_load, body["Model"], body["Version"])
         return "202 Accepted"
 
-    def _loaded(self, model: str, version: int) -> None:
+    def _finish_load(self, model: str, version: int) -> None:
         self._busy = False
         self.versions[model] = version
         self.report_state()
 
     def _run(self, environment: Environment, start_response: StartResponse) -> Iterable[bytes]:
         environment["wsgi.input"].read()
-        request_id = self._note_run(environment)
+        request_id = self._record_run(environment)
         if self._random.random() < self.faults.failed_share:
             start_response("500 Failed", [("Attempt-Id", request_id)])
             return [b"failed"]
@@ -406,11 +415,11 @@
 
 
 def event_count(request_id: str) -> int:
-    """Return how many events a generation has; a few are long."""
+    """Return the number of events of a generation; one in ten is long."""
     generator = random.Random(request_id)
     return generator.randint(3, 12) if generator.random() < 0.9 else generator.randint(30, 60)
 
 
 def whole_text(request_id: str) -> str:
-    """Return the whole text of a generation."""
+    """Return the complete output of a generation."""
     return "\n".join(f"{request_id}:{n}" for n in range(1, event_count(request_id) + 1))
--- a/src/runkeel_lab/users_platform/servers_soak.py
+++ b/src/runkeel_lab/users_platform/servers_soak.py
@@ -18,7 +18,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel_lab.users_platform.crash_soak import CrashSoak
-from runkeel_lab.users_platform.foreign_entries import draw_wrong
+from runkeel_lab.users_platform.foreign_entries import draw_invalid_entry
 from runkeel_lab.users_platform.servers import PlatformServer
 
 HEARTBEAT_SECONDS = 0.4
@@ -69,21 +69,21 @@
         self._sprung += 1
         sock.close()
 
-    def _change_naming(self, chance: random.Random) -> None:
+    def _change_naming(self, rng: random.Random) -> None:
         """Decide whether servers come back under the id that they had, from now on."""
-        self._deployment.crashes.keeps_id = chance.random() < 0.7
+        self._deployment.crashes.keeps_id = rng.random() < 0.7
 
-    def _write_wrongly(self, chance: random.Random) -> None:
+    def _write_wrongly(self, rng: random.Random) -> None:
         """Write wrong entries under new names, and over that of a server at work."""
         objects = self._deployment.store.objects
         servers = [*self._deployment.engines, *self._deployment.applications]
-        server = chance.choice(servers)
-        objects.put("servers", server.server_id, draw_wrong(server.entry, chance))
+        server = rng.choice(servers)
+        objects.put("servers", server.server_id, draw_invalid_entry(server.entry, rng))
         gevent.spawn_later(HEARTBEAT_SECONDS, self._write_entry, server)
         host, port = self._trap.address
         for number in range(FOREIGN_ENTRIES):
-            entry = {**chance.choice(servers).entry, "Address": f"{host}:{port}"}
-            objects.put("servers", f"{FOREIGN}{number}", draw_wrong(entry, chance))
+            entry = {**rng.choice(servers).entry, "Address": f"{host}:{port}"}
+            objects.put("servers", f"{FOREIGN}{number}", draw_invalid_entry(entry, rng))
 
     def _check(self) -> None:
         self._trap.stop()
--- a/src/runkeel_lab/users_platform/soak.py
+++ b/src/runkeel_lab/users_platform/soak.py
@@ -158,10 +158,10 @@
         self._report.faults[fault.act] = self._report.faults.get(fault.act, 0) + 1
         logger.info("fault", code="fault", fault=fault.act, target=fault.target)
         self._events.append(fault)
-        self._faults.strike(fault)
+        self._faults.inject(fault)
 
     def _heal(self) -> None:
-        self._faults.heal()
+        self._faults.wait_until_recovered()
 
     def _check_jobs(self) -> None:
         deadline = steady_seconds() + _SETTLE_SECONDS
--- a/src/runkeel_lab/users_platform/store_server.py
+++ b/src/runkeel_lab/users_platform/store_server.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store over HTTP, with outages, refusals and lost answers."""
+"""The platform's metadata store over HTTP, with injected outages and lost responses."""
 
 from __future__ import annotations
 
@@ -16,27 +16,28 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 from runkeel_lab.standins.document_store import MemoryDocumentStore
-from runkeel_lab.standins.http import AnswerAbortedError, Handler
+from runkeel_lab.standins.http import Handler, ResponseAbortedError
 
 _COLLECTION = "/runkeel/objects/"
 _CONNECTION = "runkeel.connection"
-_MUTE_SECONDS = 60.0
+_HANG_SECONDS = 60.0
 _WRITES = ("POST", "PUT", "DELETE")
 _STATUSES = {200: "OK", 404: "Not Found", 409: "Conflict", 410: "Gone", 503: "Unavailable"}
 
 
 class StoreServer:
-    """Serves a document store in the platform's HTTP form.
+    """Serves a document store through the platform's HTTP API.
 
     Attributes:
-        objects: the stored objects; kinds are the platform's names.
-        lost_share: share of the writes that are done and not answered.
-        refused: every call is answered 503 and nothing is done.
-        silent: no call is answered and nothing is done.
-        slow_seconds: added to every call.
+        objects: the stored objects; kinds have the platform's names.
+        lost_share: share of the writes that are executed without a response.
+        refused: every call gets 503 without being executed.
+        silent: every call hangs without being executed.
+        slow_seconds: added latency of every call, in seconds.
 
     Args:
-        behind: another server; this one is a further address of it, which can be disturbed alone.
+        behind: server whose store this one serves at a further address with faults of its own;
+            the faults of ``behind`` apply too.
     """
 
     def __init__(self, seed: int, behind: StoreServer | None = None) -> None:
@@ -49,47 +50,47 @@
         self.calls = 0
         self._muted_at: dict[str, float] = behind._muted_at if behind else {}
         self._random = random.Random(seed)
-        self._server = WSGIServer(("127.0.0.1", 0), self._answer, log=None, handler_class=Handler)
+        self._server = WSGIServer(
+            ("127.0.0.1", 0), self._handle_request, log=None, handler_class=Handler
+        )
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
         return Address("127.0.0.1", self._server.server_port)
 
     def mute_watches(self, kind: str) -> None:
-        """Lose the answers of the watches that wait now; their connections stay open."""
+        """Never respond to the watches that wait now; their connections stay open."""
         self._muted_at[kind] = steady_seconds()
 
     def start(self) -> None:
-        """Listen."""
         self._server.start()
 
     def stop(self) -> None:
         """Close the listener and every connection."""
         self._server.stop(timeout=0)
 
-    def _answer(
+    def _handle_request(
         self, environment: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         method = environment["REQUEST_METHOD"]
         body = environment["wsgi.input"].read()
         self.calls += 1
-        doors = (self, self._behind) if self._behind else (self,)
-        gevent.sleep(sum(door.slow_seconds for door in doors))
-        status, answer = 503, None
-        if not any(door.silent or door.refused for door in doors):
-            status, answer = self._handle(method, environment, json.loads(body) if body else {})
-        # A watch may have waited since before the disturbance began.
-        if any(door.silent for door in doors):
-            gevent.sleep(_MUTE_SECONDS)
-        if method == "GET" and any(door.refused for door in doors):
-            status, answer = 503, None
-        lost_share = max(door.lost_share for door in doors)
+        endpoints = (self, self._behind) if self._behind else (self,)
+        gevent.sleep(sum(endpoint.slow_seconds for endpoint in endpoints))
+        status, payload = 503, None
+        if not any(endpoint.silent or endpoint.refused for endpoint in endpoints):
+            status, payload = self._handle(method, environment, json.loads(body) if body else {})
+        # A watch may have started before the fault was injected.
+        if any(endpoint.silent for endpoint in endpoints):
+            gevent.sleep(_HANG_SECONDS)
+        if method == "GET" and any(endpoint.refused for endpoint in endpoints):
+            status, payload = 503, None
+        lost_share = max(endpoint.lost_share for endpoint in endpoints)
         if method in _WRITES and self._random.random() < lost_share:
             environment[_CONNECTION].abort()
-            raise AnswerAbortedError
+            raise ResponseAbortedError
         start_response(f"{status} {_STATUSES[status]}", [("Content-Type", "application/json")])
-        return [json.dumps(answer).encode()]
+        return [json.dumps(payload).encode()]
 
     def _handle(
         self, method: str, environment: dict[str, Any], body: dict[str, Any]
@@ -115,7 +116,7 @@
             started = steady_seconds()
             changes = self.objects.watch(kind, int(query["watch"]), wait)
             if started < self._muted_at.get(kind, 0.0):
-                gevent.sleep(_MUTE_SECONDS)
+                gevent.sleep(_HANG_SECONDS)
             events = [
                 {"object": _object(change.document), "gone": change.removed}
                 for change in changes.changes
