--- a/src/runkeel_lab/users_platform/bench_journal.py
+++ b/src/runkeel_lab/users_platform/bench_journal.py
@@ -1,4 +1,4 @@
-"""Compares the days of journal entries of the users' bench: a table and a picture."""
+"""Compares journal entries of the users' benchmark, as a table and as a chart."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 from matplotlib import pyplot  # noqa: E402  (the backend must be chosen first)
 
-CALM_SLOT = "quiet"
-DRAWN_PREFIX = "fresh-"
-"""Days that the bench draws at a score; they differ from entry to entry."""
+CALM_DAY_SLOT = "quiet"
+RANDOM_DAY_PREFIX = "fresh-"
+"""Name prefix of days that the benchmark draws at random, which differ between entries."""
 
 _SIZE_INCHES = (9, 4.5)
 _GROUP_WIDTH = 0.8
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BenchDay:
-    """A played day: its worth, the share of its credit lost to prices, rules that broke."""
+    """Result of one simulated day: score, share of it lost to prices, number of broken rules."""
 
     name: str
     slot: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BenchEntry:
-    """One entry of the journal."""
+    """One journal entry."""
 
     entry_id: str
     site: str
@@ -43,18 +43,22 @@
 
     @property
     def standard_days(self) -> tuple[BenchDay, ...]:
-        """The days that every score plays."""
-        return tuple(day for day in self.days if not day.name.startswith(DRAWN_PREFIX))
+        """The days that every entry contains."""
+        return tuple(day for day in self.days if not day.name.startswith(RANDOM_DAY_PREFIX))
 
     @property
-    def mean_of_trouble(self) -> float:
-        """Mean worth of the standard days with trouble; 0 when there is none."""
-        found = [day.worth for day in self.standard_days if day.slot != CALM_SLOT]
+    def mean_non_calm_worth(self) -> float:
+        """Mean worth of the standard days that are not calm; 0 if there are none."""
+        found = [day.worth for day in self.standard_days if day.slot != CALM_DAY_SLOT]
         return sum(found) / len(found) if found else 0.0
 
 
 def read_entry(path: Path) -> BenchEntry:
-    """Read an entry. Raises ValueError when the file is none."""
+    """Read a journal entry.
+
+    Raises:
+        ValueError: the file is not a journal entry.
+    """
     try:
         content = json.loads(path.read_text())
         days = tuple(_day(day) for day in content["days"])
@@ -64,29 +68,29 @@
 
 
 def format_entries(entries: Sequence[BenchEntry]) -> str:
-    """Return a table: a row an entry, a column a day, the mean of the days with trouble last."""
+    """Return a table with a row per entry, a column per standard day, and the mean last."""
     names = _day_names(entries)
     width = max([len(entry.site) for entry in entries], default=4)
     rows = [f"{'site':<{width}} entry    " + " ".join(f"{n:>9}" for n in names) + "      mean"]
     for entry in entries:
         worth = {day.name: day for day in entry.standard_days}
         cells = " ".join(_cell(worth.get(name)) for name in names)
-        mean = f"{entry.mean_of_trouble:>9.3f}"
+        mean = f"{entry.mean_non_calm_worth:>9.3f}"
         rows.append(f"{entry.site:<{width}} {entry.entry_id:<8} {cells} {mean}")
     return "\n".join(rows)
 
 
 def plot_entries(entries: Sequence[BenchEntry], path: Path) -> None:
-    """Draw the worth of each day as bars, one colour an entry."""
+    """Draw the worth of each standard day as a bar chart, with one colour per entry."""
     names = _day_names(entries)
     figure, axes = pyplot.subplots(figsize=_SIZE_INCHES)
     width = _GROUP_WIDTH / max(1, len(entries))
     for number, entry in enumerate(entries):
         worth = {day.name: day.worth for day in entry.standard_days}
-        places = [place + number * width for place in range(len(names))]
+        positions = [index + number * width for index in range(len(names))]
         heights = [worth.get(name, 0.0) for name in names]
-        axes.bar(places, heights, width, label=f"{entry.site} {entry.entry_id}")
-    axes.set_xticks([place + _GROUP_WIDTH / 2 - width / 2 for place in range(len(names))], names)
+        axes.bar(positions, heights, width, label=f"{entry.site} {entry.entry_id}")
+    axes.set_xticks([index + _GROUP_WIDTH / 2 - width / 2 for index in range(len(names))], names)
     axes.set_ylabel("worth")
     axes.legend()
     figure.tight_layout()
--- a/src/runkeel_lab/users_platform/operations_soak.py
+++ b/src/runkeel_lab/users_platform/operations_soak.py
@@ -1,12 +1,16 @@
-"""A soak of what operators do, in series that overlap, beside outages in which servers lapse.
+"""Soak test of overlapping operator actions and store outages.
 
-Planned stops and kills, also of a process that is stopping already; configurations a tenth of a
-second apart; outages of the store, for all machines or some, that end at one machine after the
-other. Clients keep using their connections until the process is gone.
+Actions: planned stops and kills, also of a process that is already stopping; configuration changes
+in quick succession; outages of the store for all machines or for one, during which server entries
+expire, and which end at different times on each machine. Clients keep their connections open until
+the process is gone.
 
-The oracle, beyond that of :mod:`runkeel_lab.users_platform.soak`: a process never goes back to an
-older configuration; a planned stop cuts no request that was passed on, or sent 0.2 s before; once
-all is quiet, every node serves the plain routes, old and new, and no route that was dropped.
+Checked in addition to :mod:`runkeel_lab.users_platform.soak`:
+
+- A process never returns to an older configuration.
+- A planned stop aborts no request that was forwarded, or sent more than ``CUT_GRACE_SECONDS``
+  before the connection ended.
+- After recovery, every node serves all current plain routes and none that was removed.
 """
 
 from __future__ import annotations
@@ -31,32 +35,35 @@
 )
 from runkeel_lab.users_platform.soak import Soak
 
-QUIET_SECONDS = 6.0
-"""After the last disturbance all is as it was: a stop takes 3.2 s, servers are back after 2 s."""
+SETTLE_SECONDS = 6.0
+"""Recovery time after the last act; covers a planned stop and the return of server entries."""
 
 ACT_PAUSES_SECONDS = (0.1, 0.9)
-"""Between two acts; most last longer, so that they overlap."""
+"""Range of the pause between two acts; shorter than most acts, so that they overlap."""
+
+OUTAGE_LENGTH_SECONDS = (1.0, 5.0)
+"""Range of the length of a store outage."""
 
-OUTAGE_SECONDS = (1.0, 5.0)
-"""Length of an outage of the store."""
+ENTRY_EXPIRY_SECONDS = 2.4
+"""Server entries expire when an outage has lasted this long."""
 
-LAPSE_SECONDS = 2.4
-"""Entries of servers lapse when the store has been away for so long."""
+ENTRY_REWRITE_SECONDS = (0.3, 1.8)
+"""Range of the time from the end of an outage until a server rewrites its entry.
 
-RETURN_SECONDS = (0.3, 1.8)
-"""Servers write themselves again so long after the store's return; 2 s are promised."""
+The platform guarantees at most 2 s.
+"""
 
-CUT_SECONDS = 0.2
-"""A request that was sent so long before its connection ended did not cross the end."""
+CUT_GRACE_SECONDS = 0.2
+"""A request sent less than this before its connection ended may have crossed the close."""
 
 ADDED_ROUTES = 4
-_REQUEST_SECONDS = 0.08
-_SAMPLE_SECONDS = 0.05
-_ANSWER_SECONDS = 3.0
+_REQUEST_INTERVAL_SECONDS = 0.08
+_SAMPLE_INTERVAL_SECONDS = 0.05
+_RESPONSE_TIMEOUT_SECONDS = 3.0
 
 
 class _Client:
-    """One client of one machine, with one connection that it keeps."""
+    """A client of one machine that keeps one connection open."""
 
     def __init__(self, soak: OperationsSoak, edge: str, number: int) -> None:
         self._soak = soak
@@ -65,16 +72,16 @@
         self._sent = 0
 
     def run(self, end: float) -> None:
-        """Use each process's connection until the process is gone."""
+        """Send requests to each process on one connection until the process is gone."""
         while steady_seconds() < end:
             process = self._soak.process(self._edge)
             if process is None:
-                gevent.sleep(_REQUEST_SECONDS)
+                gevent.sleep(_REQUEST_INTERVAL_SECONDS)
                 continue
             pool = HttpConnectionPool(process.frontend_address)
             while self._soak.process(self._edge) is process and steady_seconds() < end:
                 self._request(pool)
-                gevent.sleep(_REQUEST_SECONDS)
+                gevent.sleep(_REQUEST_INTERVAL_SECONDS)
             pool.close()
 
     def _request(self, pool: HttpConnectionPool) -> None:
@@ -86,18 +93,19 @@
         )
         started = steady_seconds()
         try:
-            answer = pool.request(request, started + _ANSWER_SECONDS)
+            response = pool.request(request, started + _RESPONSE_TIMEOUT_SECONDS)
         except RunkeelError as error:
-            self._soak.note_cut(self._edge, request_id, started, error)
+            self._soak.check_failure(self._edge, request_id, started, error)
             return
-        self._soak.note_answer(request_id, answer.status, answer.body)
+        self._soak.check_response(request_id, response.status, response.body)
 
 
 class OperationsSoak(Soak):
-    """One soak with a seed; the same seed gives the same plan.
+    """One soak run; the seed determines the plan of acts.
 
     Args:
-        edges: machines that serve clients.
+        seconds: length of the part of the run in which acts are started.
+        edges: number of machines that serve clients.
     """
 
     def __init__(self, seed: int, seconds: float, edges: int = 3) -> None:
@@ -107,53 +115,55 @@
         self._added: deque[str] = deque()
         self._dropped: list[str] = []
         self._killed_at: dict[str, float] = {}
-        self._out = 0
-        """Outages that are under way; servers are back after the last one."""
+        self._active_outages = 0
+        """Number of current outages; servers rewrite their entries after the last one."""
         self._frequent_acts = ("outage", "outage")
-        """These are drawn more often than the others."""
+        """Additional entries in the draw, to make these acts more frequent."""
         self._acts: dict[str, Callable[[random.Random], None]] = {
             "stop": self._stop,
             "kill": self._kill,
             "configure": self._configure,
-            "outage": self._lose_store,
-            "refuse": self._refuse_one,
+            "outage": self._start_outage,
+            "refuse": self._refuse_machine,
             "compact": lambda rng: self._deployment.store.objects.compact(),
         }
 
     def process(self, machine: str) -> Any:
-        """Return the process on a machine, None while there is none."""
+        """Return the process on a machine, or None while it is down."""
         return self._deployment.node(machine)
 
-    def note_answer(self, request_id: str, status: int, body: bytes) -> None:
-        """Check a client's answer."""
+    def check_response(self, request_id: str, status: int, body: bytes) -> None:
+        """Check the response to a client's request."""
         if status == 200:
             self._report.answered += 1
             if body != b"echo " + request_id.encode():
-                self._violated(f"{request_id} got the answer {body!r}")
+                self._report_violation(f"{request_id} got the answer {body!r}")
 
-    def note_cut(self, edge: str, request_id: str, sent_at: float, error: RunkeelError) -> None:
-        """Check a request without an answer: only a kill may cut what was passed on."""
+    def check_failure(
+        self, edge: str, request_id: str, sent_at: float, error: RunkeelError
+    ) -> None:
+        """Check a request without a response: only a kill may abort a forwarded request."""
         if error.verdict is Verdict.NOT_RUN or self._killed_at.get(edge, 0.0) >= sent_at:
             return
-        passed_on = any(
+        forwarded = any(
             run.request_id == request_id
             for server in [*self._deployment.applications, *self._deployment.former_servers]
             for run in server.runs
         )
         seconds = steady_seconds() - sent_at
-        if passed_on or seconds > CUT_SECONDS:
-            self._violated(f"{request_id} was cut after {seconds:.2f} s: {error.detail}")
+        if forwarded or seconds > CUT_GRACE_SECONDS:
+            self._report_violation(f"{request_id} was cut after {seconds:.2f} s: {error.detail}")
 
     def _start_tasks(self, end: float) -> list[gevent.Greenlet]:
         clients = [_Client(self, edge, n) for edge in self._deployment.edge_names for n in range(2)]
         return [
             *super()._start_tasks(end),
             *(gevent.spawn(client.run, end) for client in clients),
-            gevent.spawn(self._watch_versions, end),
+            gevent.spawn(self._monitor_versions, end),
         ]
 
-    def _disturb(self) -> None:
-        """Begin one act after another for a while; the plan is drawn by the seed."""
+    def _inject_faults(self) -> None:
+        """Start some acts drawn from the seeded generator."""
         for _ in range(self._random.randint(1, 4)):
             act = self._random.choice([*sorted(self._acts), *self._frequent_acts])
             rng = random.Random(self._random.randrange(1 << 30))
@@ -163,11 +173,11 @@
             gevent.sleep(self._random.uniform(*ACT_PAUSES_SECONDS))
 
     def _stop(self, rng: random.Random) -> None:
-        """Stop a machine as planned and start it again; now and then it is killed meanwhile."""
+        """Drain and restart a machine; sometimes kill it while it drains."""
         name = rng.choice(self._deployment.node_names)
         gevent.spawn(self._restart, name, self.process(name), rng.uniform(0.0, 0.5))
         if rng.random() < 0.2:
-            gevent.spawn_later(rng.uniform(0.0, 3.0), self._kill_named, name)
+            gevent.spawn_later(rng.uniform(0.0, 3.0), self._kill_machine, name)
 
     def _restart(self, name: str, process: Any, pause: float) -> None:
         if process is None or process.stop_requested.is_set():
@@ -180,10 +190,10 @@
     def _kill(self, rng: random.Random) -> None:
         coordinators = self._deployment.coordinators()
         name = rng.choice([*self._deployment.node_names, *coordinators])
-        self._kill_named(name)
+        self._kill_machine(name)
         gevent.spawn_later(rng.uniform(0.0, 1.0), self._start_if_down, name)
 
-    def _kill_named(self, name: str) -> None:
+    def _kill_machine(self, name: str) -> None:
         self._killed_at[name] = steady_seconds()
         self._deployment.kill_node(name)
         gevent.spawn_later(1.0, self._start_if_down, name)
@@ -193,7 +203,7 @@
             self._deployment.start_node(name)
 
     def _configure(self, rng: random.Random) -> None:
-        """Write some versions in quick succession; each adds a route, and drops an old one."""
+        """Write several configurations in quick succession; each adds a route and may drop one."""
         for _ in range(rng.randint(1, 3)):
             self._version += rng.randint(1, 3)
             self._added.append(f"/added{self._version}/")
@@ -203,48 +213,48 @@
             self._deployment.configure(configuration(self._version, more))
             gevent.sleep(rng.uniform(0.05, 0.3))
 
-    def _lose_store(self, rng: random.Random) -> None:
-        """Let the store be away for a while; servers lapse, and it comes back bit by bit."""
+    def _start_outage(self, rng: random.Random) -> None:
+        """Start an outage of the store, after which the machines regain it one by one."""
         gevent.spawn(self._outage, rng)
 
     def _outage(self, rng: random.Random) -> None:
-        way = rng.choice(("refused", "silent"))
-        seconds = rng.uniform(*OUTAGE_SECONDS)
-        self._out += 1
-        setattr(self._deployment.store, way, True)
-        gevent.sleep(min(seconds, LAPSE_SECONDS))
+        fault = rng.choice(("refused", "silent"))
+        seconds = rng.uniform(*OUTAGE_LENGTH_SECONDS)
+        self._active_outages += 1
+        setattr(self._deployment.store, fault, True)
+        gevent.sleep(min(seconds, ENTRY_EXPIRY_SECONDS))
         servers = [*self._deployment.engines, *self._deployment.applications]
-        if seconds > LAPSE_SECONDS:
+        if seconds > ENTRY_EXPIRY_SECONDS:
             for server in servers:
                 self._deployment.store.objects.remove("servers", server.server_id)
-            gevent.sleep(seconds - LAPSE_SECONDS)
-        self._out -= 1
-        if self._out:
+            gevent.sleep(seconds - ENTRY_EXPIRY_SECONDS)
+        self._active_outages -= 1
+        if self._active_outages:
             return
-        self._let_in_bit_by_bit(rng)
+        self._restore_store_gradually(rng)
         for server in servers:
-            gevent.spawn_later(rng.uniform(*RETURN_SECONDS), self._write_entry, server)
+            gevent.spawn_later(rng.uniform(*ENTRY_REWRITE_SECONDS), self._write_entry, server)
 
-    def _let_in_bit_by_bit(self, rng: random.Random) -> None:
-        doors = [self._deployment.store_of(name) for name in self._deployment.node_names]
-        for door in doors:
-            door.refused = True
-            gevent.spawn_later(rng.uniform(0.0, 0.6), setattr, door, "refused", False)
+    def _restore_store_gradually(self, rng: random.Random) -> None:
+        endpoints = [self._deployment.store_of(name) for name in self._deployment.node_names]
+        for endpoint in endpoints:
+            endpoint.refused = True
+            gevent.spawn_later(rng.uniform(0.0, 0.6), setattr, endpoint, "refused", False)
         self._deployment.store.refused = self._deployment.store.silent = False
 
     def _write_entry(self, server: Any) -> None:
-        """Let a server write its entry, as each of its heartbeats does where it is missing."""
-        if not self._out:
+        """Write a server's entry, as its heartbeat does, unless the store is down."""
+        if not self._active_outages:
             server.report_state()
 
-    def _refuse_one(self, rng: random.Random) -> None:
-        """Let the store turn one machine away while it serves the others."""
-        door = self._deployment.store_of(rng.choice(self._deployment.node_names))
-        door.refused = True
-        gevent.spawn_later(rng.uniform(0.5, 3.0), setattr, door, "refused", False)
+    def _refuse_machine(self, rng: random.Random) -> None:
+        """Make the store refuse one machine while it serves the others."""
+        endpoint = self._deployment.store_of(rng.choice(self._deployment.node_names))
+        endpoint.refused = True
+        gevent.spawn_later(rng.uniform(0.5, 3.0), setattr, endpoint, "refused", False)
 
-    def _watch_versions(self, end: float) -> None:
-        """See that no process goes back to an older configuration."""
+    def _monitor_versions(self, end: float) -> None:
+        """Check that no process returns to an older configuration."""
         seen: dict[int, int] = {}
         while steady_seconds() < end:
             for name in self._deployment.edge_names:
@@ -253,23 +263,23 @@
                 if known is None:
                     continue
                 if known.version < seen.get(id(process), 0):
-                    self._violated(f"{name}: version {known.version} came back")
+                    self._report_violation(f"{name}: version {known.version} came back")
                 seen[id(process)] = known.version
-            gevent.sleep(_SAMPLE_SECONDS)
+            gevent.sleep(_SAMPLE_INTERVAL_SECONDS)
 
-    def _heal(self) -> None:
-        gevent.sleep(QUIET_SECONDS)
+    def _recover(self) -> None:
+        gevent.sleep(SETTLE_SECONDS)
         for name in self._deployment.node_names:
             self._start_if_down(name)
         self._deployment.wait_ready()
-        gevent.sleep(QUIET_SECONDS)
+        gevent.sleep(SETTLE_SECONDS)
 
     def _check(self) -> None:
         self._check_routes()
         super()._check()
 
     def _check_routes(self) -> None:
-        """Ask every node for the plain routes, those that were added and those that are gone."""
+        """Check that every node serves the current plain routes and rejects the dropped ones."""
         for edge in self._deployment.edge_names:
             for prefix in (COUNT_PREFIX, *self._added):
                 self._check_status(edge, prefix, 200)
@@ -278,7 +288,7 @@
 
     def _check_status(self, edge: str, prefix: str, wanted: int) -> None:
         headers = {"Attempt-Id": f"check-{edge}{prefix}", "Deadline-Ms": "1500"}
-        answer = self._deployment.call(edge, "POST", f"{prefix}x", headers, b"rice")
-        status = answer.status if answer is not None else 0
+        response = self._deployment.call(edge, "POST", f"{prefix}x", headers, b"rice")
+        status = response.status if response is not None else 0
         if status != wanted:
-            self._violated(f"{edge}: {prefix} answers {status}, not {wanted}")
+            self._report_violation(f"{edge}: {prefix} answers {status}, not {wanted}")
--- a/src/runkeel_lab/users_platform/replay.py
+++ b/src/runkeel_lab/users_platform/replay.py
@@ -1,9 +1,8 @@
-"""Replays recorded traces and compares what comes of them with the outcomes that they state.
+"""Replays recorded traces and checks the outcomes stated in them.
 
-A refusal or a failure of a request depends on the moment, so a request may end better than when it
-was recorded, not worse: what was answered then must be answered again, unless a fault is under way.
-What must hold whatever the moment is held to the letter: accepted jobs are read whole, each item
-once with its whole text; what must not repeat runs at most once.
+Whether a single request fails depends on timing, so only a share of the requests that succeeded
+when recorded has to succeed again. Checked without tolerance: accepted jobs are read completely,
+each item once with its complete output, and non-idempotent requests run at most once.
 """
 
 from __future__ import annotations
@@ -21,19 +20,19 @@
 from runkeel_lab.users_platform.trace import COMPLETED, Trace, TraceEvent, read_trace
 
 _SEED = 1
-_SETTLE_SECONDS = 60.0
-_POLL_SECONDS = 0.05
-_TRIES = 5
-"""A job that was accepted when it was recorded is submitted so often, as its trainer would."""
+_SETTLE_TIMEOUT_SECONDS = 60.0
+_POLL_INTERVAL_SECONDS = 0.05
+_MAX_SUBMISSIONS = 5
+"""Submissions of a job that was accepted when recorded, as its trainer retries too."""
 
 _RETRY_SECONDS = 0.5
-_ANSWERED = "200"
-_LEAST_ANSWERED = 0.9
-"""Of the requests that were answered when recorded, so large a part must be answered again."""
+_STATUS_OK = "200"
+_MIN_ANSWERED_SHARE = 0.9
+"""Share of the requests with status 200 when recorded that must get it again."""
 
 
 class Replay:
-    """One trace on a deployment of its own."""
+    """Replays one trace on a deployment of its own."""
 
     def __init__(self, trace: Trace) -> None:
         self._trace = trace
@@ -44,15 +43,15 @@
         self.violations: list[str] = []
 
     def run(self) -> list[str]:
-        """Play the trace; returns what does not hold."""
+        """Replay the trace and return the violations."""
         self._deployment.start()
         try:
             self._deployment.wait_ready()
-            began = steady_seconds()
+            started = steady_seconds()
             tasks = []
             for event in self._trace.events:
-                gevent.sleep(max(0.0, began + event.at - steady_seconds()))
-                tasks.append(gevent.spawn(self._act, event))
+                gevent.sleep(max(0.0, started + event.at - steady_seconds()))
+                tasks.append(gevent.spawn(self._execute, event))
             gevent.joinall(tasks)
             self._faults.wait_until_recovered()
             self._check_jobs()
@@ -61,7 +60,7 @@
             self._deployment.stop()
         return self.violations
 
-    def _act(self, event: TraceEvent) -> None:
+    def _execute(self, event: TraceEvent) -> None:
         if event.act == "job":
             self._submit(event)
         elif event.act == "request":
@@ -76,7 +75,7 @@
         items = [f"{job_id}-g{n // 4}-{n}" for n in range(event.details["items"])]
         edges = self._deployment.edge_names
         first = edges.index(event.target)
-        for number in range(_TRIES if event.outcome == COMPLETED else 1):
+        for number in range(_MAX_SUBMISSIONS if event.outcome == COMPLETED else 1):
             edge = edges[(first + number) % len(edges)]
             if self._deployment.submit(edge, job_id, items) == 202:
                 self._accepted[job_id] = items
@@ -87,19 +86,19 @@
         headers = {"Attempt-Id": event.subject, "Deadline-Ms": "1000"}
         body = event.subject.encode()
         target = f"{event.details['prefix']}x"
-        answer = self._deployment.call(event.target, "POST", target, headers, body)
-        if answer is None or answer.status != int(_ANSWERED):
+        response = self._deployment.call(event.target, "POST", target, headers, body)
+        if response is None or response.status != int(_STATUS_OK):
             return
         self._answered.add(event.subject)
-        if answer.body != b"echo " + body:
-            self.violations.append(f"{event.subject} got the answer {answer.body!r}")
+        if response.body != b"echo " + body:
+            self.violations.append(f"{event.subject} got the answer {response.body!r}")
 
     def _check_jobs(self) -> None:
         for event in self._trace.events:
             stated = event.act == "job" and event.outcome == COMPLETED
             if stated and event.subject not in self._accepted:
-                self.violations.append(f"{event.subject}: not accepted in {_TRIES} tries")
-        deadline = steady_seconds() + _SETTLE_SECONDS
+                self.violations.append(f"{event.subject}: not accepted in {_MAX_SUBMISSIONS} tries")
+        deadline = steady_seconds() + _SETTLE_TIMEOUT_SECONDS
         for job_id, items in self._accepted.items():
             self._check_results(job_id, items, deadline)
 
@@ -108,7 +107,7 @@
         while len(results := self._deployment.results(edge, job_id) or []) < len(items):
             if steady_seconds() > deadline:
                 break
-            gevent.sleep(_POLL_SECONDS)
+            gevent.sleep(_POLL_INTERVAL_SECONDS)
         if sorted(result["Id"] for result in results) != sorted(items):
             self.violations.append(f"{job_id}: items {[one['Id'] for one in results]}")
         for result in results:
@@ -119,10 +118,10 @@
         stated = {
             event.subject
             for event in self._trace.events
-            if event.act == "request" and event.outcome == _ANSWERED
+            if event.act == "request" and event.outcome == _STATUS_OK
         }
         missing = stated - self._answered
-        if len(missing) > (1.0 - _LEAST_ANSWERED) * len(stated):
+        if len(missing) > (1.0 - _MIN_ANSWERED_SHARE) * len(stated):
             self.violations.append(f"{len(missing)} of {len(stated)} requests not answered")
         runs: dict[str, int] = {}
         for server in self._deployment.applications:
@@ -135,14 +134,14 @@
 
 
 def replay_files(paths: Iterable[Path]) -> bool:
-    """Replay traces and print a line for each; True when every stated outcome came."""
+    """Replay traces and print a line for each; return True if there were no violations."""
     logger.remove()
-    holds = True
+    passed = True
     for path in paths:
         trace = read_trace(path)
         violations = Replay(trace).run()
-        holds = holds and not violations
+        passed = passed and not violations
         print(f"{path.name}: {len(trace.events)} events, {len(violations)} violations", flush=True)
         for violation in violations[:5]:
             print(f"  {violation}", flush=True)
-    return holds
+    return passed
--- a/src/runkeel_lab/users_platform/running.py
+++ b/src/runkeel_lab/users_platform/running.py
@@ -1,4 +1,4 @@
-"""A deployment on loopback to try by hand."""
+"""Runs a deployment on loopback for manual experiments."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def run_until_stopped(edges: int, disks: int, engines: int, applications: int) -> None:
-    """Start a deployment, print where it is reached, and run it until SIGINT or SIGTERM."""
+    """Start a deployment, print its addresses, and run it until SIGINT or SIGTERM."""
     logger.remove()
     deployment = Deployment(
         _SEED, edges=edges, disks=disks, engines=engines, applications=applications, metrics=True
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -18,7 +18,7 @@
 from runkeel_lab.users_platform.crashes import CrashPlan
 from runkeel_lab.users_platform.store_server import StoreServer
 
-LAPSE_SECONDS = 1.0
+ENTRY_EXPIRY_SECONDS = 1.0
 """Time from a server's crash to the removal of its entry from the store."""
 
 _CONNECTION = "runkeel.connection"
@@ -126,7 +126,7 @@
         self._server.stop(timeout=0)
         for connection in self._connections:
             connection.abort()
-        gevent.spawn_later(LAPSE_SECONDS, self._expire_entry)
+        gevent.spawn_later(ENTRY_EXPIRY_SECONDS, self._expire_entry)
 
     def _expire_entry(self) -> None:
         """Remove the entry, unless the next incarnation has written its own."""
--- a/src/runkeel_lab/users_platform/servers_soak.py
+++ b/src/runkeel_lab/users_platform/servers_soak.py
@@ -1,12 +1,13 @@
-"""A soak of servers that start again under their id, and of entries that another writer wrote.
+"""Soak test of servers restarted under the same id, and of invalid entries by another writer.
 
-Beside requests that crash servers, crashes by chance, outages and what operators do: servers come
-back under the id that they had, or under another one; another program writes entries that are wrong
-in one field, under new names and over those of servers at work, until the servers' next heartbeat.
+In addition to the acts of :mod:`runkeel_lab.users_platform.crash_soak`, crashed servers return
+under the same or a new id, and another writer stores invalid entries: under new names, and over the
+entries of running servers until their next heartbeat.
 
-The oracle, beyond that of :mod:`runkeel_lab.users_platform.crash_soak`: nothing is ever sent to the
-address that a wrong entry names, and once all is quiet every node uses every server, at its present
-start.
+Checked in addition to that module:
+
+- No connection is made to the address in an invalid entry, and no node lists one as a server.
+- After recovery, every node uses the current incarnation of every server.
 """
 
 from __future__ import annotations
@@ -21,85 +22,91 @@
 from runkeel_lab.users_platform.foreign_entries import draw_invalid_entry
 from runkeel_lab.users_platform.servers import PlatformServer
 
-HEARTBEAT_SECONDS = 0.4
-"""A server writes its entry anew so long after another writer changed it."""
+HEARTBEAT_INTERVAL_SECONDS = 0.4
+"""Time until a server rewrites an entry that another writer has overwritten."""
 
-SETTLED_SECONDS = 6.0
-"""A server that came back is used by all nodes after so long: pauses last 4 s at the most."""
+SETTLE_TIMEOUT_SECONDS = 6.0
+"""Maximum time until all nodes use a returned server; nodes avoid a server for up to 4 s."""
 
-FOREIGN = "foreign-"
-FOREIGN_ENTRIES = 4
-"""Names under which another program writes entries of its own."""
+FOREIGN_PREFIX = "foreign-"
+FOREIGN_ENTRY_COUNT = 4
+"""Number of names under which the other writer stores entries."""
 
-_CHECK_SECONDS = 0.1
+_CHECK_INTERVAL_SECONDS = 0.1
 
 
 class ServersSoak(CrashSoak):
-    """One soak with a seed; the same seed gives the same plan."""
+    """One soak run; the seed determines the plan of acts."""
 
     def __init__(self, seed: int, seconds: float, edges: int = 3) -> None:
         super().__init__(seed, seconds, edges)
-        self._trap = StreamServer(("127.0.0.1", 0), self._spring)
-        self._sprung = 0
-        self._taken: set[str] = set()
-        """Names of wrong entries that some node took for a server."""
-        self._acts["naming"] = self._change_naming
-        self._acts["writer"] = self._write_wrongly
+        self._honeypot = StreamServer(("127.0.0.1", 0), self._count_connection)
+        self._honeypot_connections = 0
+        self._listed_invalid_entries: set[str] = set()
+        """Names of invalid entries that some node has listed as servers."""
+        self._acts["naming"] = self._change_id_reuse
+        self._acts["writer"] = self._write_invalid_entries
         self._frequent_acts = ("chance", "chance", "naming", "writer")
 
     def _start_tasks(self, end: float) -> list[gevent.Greenlet]:
-        self._trap.start()
+        self._honeypot.start()
         self._deployment.crashes.keeps_id = True
-        return [*super()._start_tasks(end), gevent.spawn(self._watch_directories, end)]
+        return [*super()._start_tasks(end), gevent.spawn(self._monitor_directories, end)]
 
-    def _watch_directories(self, end: float) -> None:
-        """See that no node takes a wrong entry for a server; a few would get no traffic by luck."""
+    def _monitor_directories(self, end: float) -> None:
+        """Check that no node lists an invalid entry, even one that would get no traffic."""
         while steady_seconds() < end:
             for name in self._deployment.node_names:
                 process = self.process(name)
                 known = process.node.directory.all() if process is not None else ()
-                used = {one.backend_id for one in known if one.backend_id.startswith(FOREIGN)}
-                if used - self._taken:
-                    self._taken |= used
-                    self._violated(f"{name}: takes wrong entries for servers: {sorted(used)}")
-            gevent.sleep(_CHECK_SECONDS)
-
-    def _spring(self, sock: gevent.socket.socket, peer: tuple[str, int]) -> None:
-        """Count a connection to the address that wrong entries name."""
-        self._sprung += 1
+                used = {
+                    one.backend_id for one in known if one.backend_id.startswith(FOREIGN_PREFIX)
+                }
+                if used - self._listed_invalid_entries:
+                    self._listed_invalid_entries |= used
+                    self._report_violation(
+                        f"{name}: takes wrong entries for servers: {sorted(used)}"
+                    )
+            gevent.sleep(_CHECK_INTERVAL_SECONDS)
+
+    def _count_connection(self, sock: gevent.socket.socket, peer: tuple[str, int]) -> None:
+        """Count a connection to the address in the invalid entries."""
+        self._honeypot_connections += 1
         sock.close()
 
-    def _change_naming(self, rng: random.Random) -> None:
-        """Decide whether servers come back under the id that they had, from now on."""
+    def _change_id_reuse(self, rng: random.Random) -> None:
+        """Choose at random whether later replacements keep the id of the crashed server."""
         self._deployment.crashes.keeps_id = rng.random() < 0.7
 
-    def _write_wrongly(self, rng: random.Random) -> None:
-        """Write wrong entries under new names, and over that of a server at work."""
+    def _write_invalid_entries(self, rng: random.Random) -> None:
+        """Write invalid entries under new names and over the entry of a running server."""
         objects = self._deployment.store.objects
         servers = [*self._deployment.engines, *self._deployment.applications]
         server = rng.choice(servers)
         objects.put("servers", server.server_id, draw_invalid_entry(server.entry, rng))
-        gevent.spawn_later(HEARTBEAT_SECONDS, self._write_entry, server)
-        host, port = self._trap.address
-        for number in range(FOREIGN_ENTRIES):
+        gevent.spawn_later(HEARTBEAT_INTERVAL_SECONDS, self._write_entry, server)
+        host, port = self._honeypot.address
+        for number in range(FOREIGN_ENTRY_COUNT):
             entry = {**rng.choice(servers).entry, "Address": f"{host}:{port}"}
-            objects.put("servers", f"{FOREIGN}{number}", draw_invalid_entry(entry, rng))
+            objects.put("servers", f"{FOREIGN_PREFIX}{number}", draw_invalid_entry(entry, rng))
 
     def _check(self) -> None:
-        self._trap.stop()
-        if self._sprung:
-            self._violated(f"{self._sprung} connections to the address of wrong entries")
+        self._honeypot.stop()
+        if self._honeypot_connections:
+            self._report_violation(
+                f"{self._honeypot_connections} connections to the address of wrong entries"
+            )
         self._check_servers()
         super()._check()
 
     def _check_servers(self) -> None:
-        deadline = steady_seconds() + SETTLED_SECONDS
+        deadline = steady_seconds() + SETTLE_TIMEOUT_SECONDS
         while problems := self._unused_servers():
             if steady_seconds() > deadline:
                 for problem in problems:
-                    self._violated(problem)
+                    self._report_violation(problem)
                 return
-            gevent.sleep(_CHECK_SECONDS)
+            gevent.sleep(_CHECK_INTERVAL_SECONDS)
 
     def _unused_servers(self) -> list[str]:
         servers = [*self._deployment.engines, *self._deployment.applications]
--- a/src/runkeel_lab/users_platform/soak.py
+++ b/src/runkeel_lab/users_platform/soak.py
@@ -1,8 +1,11 @@
-"""A fault soak: random faults on a deployment, checked against what was acknowledged.
+"""Soak test that injects random faults into a deployment and checks acknowledged work.
 
-The oracle is small: a job that was accepted is read whole in the end, each item once, with the text
-that its generation has, the same at every node and never changed after it was first read; a request
-that can't be repeated runs at most once; orders to an engine come from one node at a time.
+Checked at the end of a run:
+
+- The results of an accepted job are complete: each item once, with the complete output of its
+  generation, identical at every node and unchanged since they were first read.
+- A non-idempotent request runs at most once.
+- The orders to an engine come from one node at a time.
 """
 
 from __future__ import annotations
@@ -22,19 +25,19 @@
 from runkeel_lab.users_platform.servers import whole_text
 from runkeel_lab.users_platform.trace import COMPLETED, REFUSED, Trace, TraceEvent, write_trace
 
-_JOB_SECONDS = 1.0
-_REQUEST_SECONDS = 0.15
-_FAULT_SECONDS = 0.8
-_READ_SECONDS = 0.3
+_JOB_INTERVAL_SECONDS = 1.0
+_REQUEST_INTERVAL_SECONDS = 0.15
+_FAULT_INTERVAL_SECONDS = 0.8
+_READ_INTERVAL_SECONDS = 0.3
 _ITEMS = 12
-_SETTLE_SECONDS = 60.0
+_SETTLE_TIMEOUT_SECONDS = 60.0
 _ORDER_PAUSE_SECONDS = 0.5
 _SIZES = {"edges": 3, "disks": 2, "engines": 3, "applications": 3}
 
 
 @dataclass(slots=True)
 class SoakReport:
-    """What a soak did and what did not hold."""
+    """Counts of a soak run, and the violations found."""
 
     accepted: int = 0
     completed_items: int = 0
@@ -45,7 +48,12 @@
 
 
 class Soak:
-    """One soak with a seed; the same seed gives the same plan of faults."""
+    """One soak run; the seed determines the plan of faults.
+
+    Args:
+        seconds: length of the part of the run in which faults are injected.
+        sizes: arguments of :class:`Deployment`: numbers of machines and servers.
+    """
 
     def __init__(self, seed: int, seconds: float, sizes: dict[str, int] = _SIZES) -> None:
         self._random = random.Random(seed)
@@ -54,47 +62,47 @@
         self._deployment = Deployment(seed, order_pause_seconds=_ORDER_PAUSE_SECONDS, **sizes)
         self._faults = Faults(self._deployment)
         self._events: list[TraceEvent] = []
-        self._began = 0.0
+        self._started_at = 0.0
         self._report = SoakReport()
         self._accepted: dict[str, list[str]] = {}
         self._seen: dict[str, list[dict[str, Any]]] = {}
 
     def run(self) -> SoakReport:
-        """Run to the end and return the report."""
+        """Run the soak and return its report."""
         deployment = self._deployment
         deployment.start()
         try:
             deployment.wait_ready()
-            self._began = steady_seconds()
+            self._started_at = steady_seconds()
             end = steady_seconds() + self._seconds
             gevent.joinall(self._start_tasks(end))
-            self._heal()
+            self._recover()
             self._check()
         finally:
             deployment.stop()
         return self._report
 
     def _start_tasks(self, end: float) -> list[gevent.Greenlet]:
-        """Start what goes on until the end of the disturbed part."""
+        """Start the tasks that run while faults are injected."""
         return [
-            gevent.spawn(self._repeat, end, _JOB_SECONDS, self._submit),
-            gevent.spawn(self._repeat, end, _REQUEST_SECONDS, self._request),
-            gevent.spawn(self._repeat, end, _READ_SECONDS, self._read_some),
-            gevent.spawn(self._repeat, end, _FAULT_SECONDS, self._disturb),
+            gevent.spawn(self._repeat, end, _JOB_INTERVAL_SECONDS, self._submit),
+            gevent.spawn(self._repeat, end, _REQUEST_INTERVAL_SECONDS, self._request),
+            gevent.spawn(self._repeat, end, _READ_INTERVAL_SECONDS, self._read_random_job),
+            gevent.spawn(self._repeat, end, _FAULT_INTERVAL_SECONDS, self._inject_faults),
         ]
 
     def _check(self) -> None:
-        """Compare what was acknowledged with what there is in the end."""
+        """Check acknowledged work against the final state."""
         self._check_jobs()
         self._check_runs()
         self._check_orders()
 
     def trace(self) -> Trace:
-        """Return what was done, once it is over."""
+        """Return the trace of a finished run."""
         return Trace(dict(self._sizes), tuple(self._events))
 
-    def _now(self) -> float:
-        return round(steady_seconds() - self._began, 3)
+    def _elapsed(self) -> float:
+        return round(steady_seconds() - self._started_at, 3)
 
     def _repeat(self, end: float, pause: float, action: Any) -> None:
         while steady_seconds() < end:
@@ -107,7 +115,7 @@
     def _submit(self) -> None:
         job_id = f"job{len(self._accepted)}-{self._random.randrange(1 << 30)}"
         items = [f"{job_id}-g{n // 4}-{n}" for n in range(_ITEMS)]
-        edge, at = self._edge(), self._now()
+        edge, at = self._edge(), self._elapsed()
         status = self._deployment.submit(edge, job_id, items)
         outcome = {202: COMPLETED, 503: REFUSED}.get(status, "")
         self._events.append(TraceEvent(at, "job", edge, job_id, {"items": _ITEMS}, outcome))
@@ -124,51 +132,51 @@
     def _send(self, prefix: str, headers: dict[str, str]) -> None:
         request_id = headers["Attempt-Id"]
         body = request_id.encode()
-        edge, at = self._edge(), self._now()
-        answer = self._deployment.call(edge, "POST", f"{prefix}x", headers, body)
+        edge, at = self._edge(), self._elapsed()
+        response = self._deployment.call(edge, "POST", f"{prefix}x", headers, body)
         details = {"prefix": prefix}
-        outcome = str(answer.status) if answer is not None else ""
+        outcome = str(response.status) if response is not None else ""
         self._events.append(TraceEvent(at, "request", edge, request_id, details, outcome))
-        if answer is None or answer.status != 200:
+        if response is None or response.status != 200:
             return
         self._report.answered += 1
-        if answer.body != b"echo " + body:
-            self._violated(f"{body!r} got the answer {answer.body!r}")
+        if response.body != b"echo " + body:
+            self._report_violation(f"{body!r} got the answer {response.body!r}")
 
-    def _read_some(self) -> None:
+    def _read_random_job(self) -> None:
         if self._accepted:
             self._read(self._random.choice(list(self._accepted)), self._edge())
 
     def _read(self, job_id: str, edge: str) -> list[dict[str, Any]] | None:
-        """Read a job; what was read before must come again."""
+        """Read a job's results, which must start with the results read before."""
         results = self._deployment.results(edge, job_id)
         if results is None:
             return None
         seen = self._seen.get(job_id, [])
         common = min(len(seen), len(results))
         if results[:common] != seen[:common]:
-            self._violated(f"{job_id}: results changed at {edge}")
+            self._report_violation(f"{job_id}: results changed at {edge}")
         if len(results) > len(seen):
             self._seen[job_id] = results
         return results
 
-    def _disturb(self) -> None:
-        """Let something go wrong, with a target, a strength and a length drawn by the seed."""
-        fault = self._faults.draw(self._random, self._now())
+    def _inject_faults(self) -> None:
+        """Inject one fault drawn from the seeded generator."""
+        fault = self._faults.draw(self._random, self._elapsed())
         self._report.faults[fault.act] = self._report.faults.get(fault.act, 0) + 1
         logger.info("fault", code="fault", fault=fault.act, target=fault.target)
         self._events.append(fault)
         self._faults.inject(fault)
 
-    def _heal(self) -> None:
+    def _recover(self) -> None:
         self._faults.wait_until_recovered()
 
     def _check_jobs(self) -> None:
-        deadline = steady_seconds() + _SETTLE_SECONDS
+        deadline = steady_seconds() + _SETTLE_TIMEOUT_SECONDS
         for job_id, items in self._accepted.items():
             while len(self._read(job_id, self._edge()) or ()) < len(items):
                 if steady_seconds() > deadline:
-                    self._violated(f"{job_id}: not whole at the end")
+                    self._report_violation(f"{job_id}: not whole at the end")
                     break
                 gevent.sleep(0.05)
             for edge in self._deployment.edge_names:
@@ -178,16 +186,16 @@
     def _check_results(self, job_id: str, items: list[str]) -> None:
         results = self._seen.get(job_id, [])
         if sorted(result["Id"] for result in results) != sorted(items):
-            self._violated(f"{job_id}: items {[result['Id'] for result in results]}")
+            self._report_violation(f"{job_id}: items {[result['Id'] for result in results]}")
         for result in results:
             if result["State"] != "completed":
                 self._report.failed_items += 1
                 continue
             self._report.completed_items += 1
             if result["Text"] != whole_text(result["Id"]):
-                self._violated(f"{result['Id']}: text {result['Text']!r}")
+                self._report_violation(f"{result['Id']}: text {result['Text']!r}")
             if not result.get("Score", "").endswith(f".score-{result['Id']}"):
-                self._violated(f"{result['Id']}: score {result.get('Score')!r}")
+                self._report_violation(f"{result['Id']}: score {result.get('Score')!r}")
 
     def _check_runs(self) -> None:
         runs: dict[str, int] = {}
@@ -198,24 +206,26 @@
                     runs[run.request_id] = runs.get(run.request_id, 0) + 1
         for request_id, count in runs.items():
             if count > 1:
-                self._violated(f"{request_id} ran {count} times")
+                self._report_violation(f"{request_id} ran {count} times")
 
     def _check_orders(self) -> None:
         former = [one for one in self._deployment.former_servers if hasattr(one, "orders")]
         for engine in [*self._deployment.engines, *former]:
-            # A late order counts at the time it was sent, which is what its holder decides.
+            # Sorted by the time of sending, because only that is under the control of the holder.
             orders = sorted(engine.orders, key=lambda order: order.sent_at)
             for before, after in zip(orders, orders[1:], strict=False):
                 if after.token < before.token:
-                    self._violated(f"{engine.server_id}: token {after.token} after {before.token}")
+                    self._report_violation(
+                        f"{engine.server_id}: token {after.token} after {before.token}"
+                    )
                 close = after.sent_at - before.sent_at < _ORDER_PAUSE_SECONDS
                 if before.holder != after.holder and close:
-                    self._violated(
+                    self._report_violation(
                         f"{engine.server_id}: orders of {before.holder} and {after.holder} "
                         f"{after.sent_at - before.sent_at:.2f} s apart"
                     )
 
-    def _violated(self, text: str) -> None:
+    def _report_violation(self, text: str) -> None:
         self._report.violations.append(text)
 
 
@@ -225,18 +235,18 @@
     make_soak: Callable[[int], Soak],
     record: Path | None = None,
 ) -> bool:
-    """Run several soaks and print a line for each; True when nothing was violated.
+    """Run several soaks and print a line for each; return True if there were no violations.
 
     Args:
-        make_soak: makes the soak of a seed.
-        record: file for a trace of the last one.
+        make_soak: builds the soak for a seed.
+        record: file for the trace of the last run.
     """
     logger.remove()
-    holds = True
+    passed = True
     for number in range(seed, seed + runs):
         soak = make_soak(number)
         report = soak.run()
-        holds = holds and not report.violations
+        passed = passed and not report.violations
         faults = sum(report.faults.values())
         print(
             f"seed {number}: {report.accepted} jobs, {report.completed_items} items completed, "
@@ -248,4 +258,4 @@
             print(f"  {violation}", flush=True)
     if record is not None and runs:
         write_trace(record, soak.trace())
-    return holds
+    return passed
--- a/src/runkeel_lab/users_platform/trace.py
+++ b/src/runkeel_lab/users_platform/trace.py
@@ -1,8 +1,8 @@
-"""Recorded traces: what was done to a deployment, and the outcome that each act must have.
+"""Recorded traces: the acts performed on a deployment, and their expected outcomes.
 
-A trace is a file of JSON lines. The first names the deployment's sizes. Each other one has the time
-in s since the start, what was done, and for requests and jobs the outcome that was seen when it
-was recorded; faults have none.
+A trace is a file of JSON lines. The first line holds the sizes of the deployment. Every other line
+holds one act: its time in seconds since the start, its parameters and, for requests and jobs, the
+outcome when recorded. Faults have no outcome.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from typing import Any
 
 COMPLETED = "completed"
-"""Outcome of a job: accepted, and read whole at the end."""
+"""Outcome of a job that was accepted, and whose results must be complete at the end."""
 
 REFUSED = "refused"
-"""Outcome of a job that was not accepted, and of which nothing may run."""
+"""Outcome of a job that was not accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class TraceEvent:
-    """One act.
+    """One act of a trace.
 
     Attributes:
         at: seconds since the deployment was ready.
         act: ``job``, ``request``, or the name of a fault.
-        target: the node that a client sends to, or what a fault strikes.
+        target: the node that a client sends to, or the node or server that a fault affects.
         subject: id of the job or request.
-        details: what else the act needs, by name.
-        outcome: of a job or request; empty: any will do.
+        details: further parameters of the act, by name.
+        outcome: expected outcome of a job or request; empty accepts any.
     """
 
     at: float
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """Sizes of a deployment, by the names of its arguments, and what was done to it."""
+    """Sizes of a deployment, by argument name, and the acts performed on it."""
 
     sizes: dict[str, int]
     events: tuple[TraceEvent, ...]
 
 
 def write_trace(path: Path, trace: Trace) -> None:
-    """Write a trace; the events in the order of their times."""
+    """Write a trace, with its events sorted by time."""
     lines = [json.dumps({"sizes": trace.sizes})]
     events = sorted(trace.events, key=lambda event: event.at)
     lines += [json.dumps(asdict(event), sort_keys=True) for event in events]
@@ -58,12 +58,20 @@
 
 
 def read_trace(path: Path) -> Trace:
-    """Read a trace. Raises ValueError, with the line, for a file of another form."""
+    """Read a trace from a file.
+
+    Raises:
+        ValueError: the file is not a trace; the message names the line.
+    """
     return parse_trace(path.read_text().splitlines())
 
 
 def parse_trace(lines: Iterable[str]) -> Trace:
-    """Read the lines of a trace. Raises ValueError with the number of a wrong line."""
+    """Parse the lines of a trace.
+
+    Raises:
+        ValueError: a line is malformed; the message names its number.
+    """
     sizes: dict[str, int] | None = None
     events = []
     for number, line in enumerate(lines, 1):
--- a/tests/users_platform/test_bench_journal.py
+++ b/tests/users_platform/test_bench_journal.py
@@ -1,4 +1,4 @@
-"""Tables and pictures from the bench's journal."""
+"""Tables and charts of benchmark journal entries."""
 
 import json
 import tempfile
@@ -24,7 +24,7 @@
         path.write_text(json.dumps({"id": entry_id, "site": "s", "why": "w", "days": days}))
         return read_entry(path)
 
-    def test_mean_is_that_of_the_standard_days_with_trouble(self):
+    def test_mean_covers_standard_days_that_are_not_calm(self):
         entry = self._entry(
             "a",
             day("quiet-1", "quiet", 0.9),
@@ -32,10 +32,10 @@
             day("scale-1", "scale", 0.7),
             day("fresh-a", "trouble", 0.1),
         )
-        self.assertAlmostEqual(entry.mean_of_trouble, 0.6)
+        self.assertAlmostEqual(entry.mean_non_calm_worth, 0.6)
         self.assertAlmostEqual(entry.days[0].prices, 0.03)
 
-    def test_table_and_picture(self):
+    def test_table_and_chart(self):
         first = self._entry("a", day("trouble-1", "trouble", 0.5, {"LOST": 2}))
         second = self._entry("b", day("trouble-1", "trouble", 0.7), day("scale-1", "scale", 0.6))
         table = format_entries([first, second]).splitlines()
@@ -44,7 +44,7 @@
         plot_entries([first, second], self.folder / "worth.png")
         self.assertGreater((self.folder / "worth.png").stat().st_size, 1_000)
 
-    def test_other_files_are_refused(self):
+    def test_other_files_are_rejected(self):
         path = self.folder / "x.json"
         path.write_text("{}")
         with self.assertRaises(ValueError):
--- a/tests/users_platform/test_crash_soak.py
+++ b/tests/users_platform/test_crash_soak.py
@@ -1,6 +1,6 @@
-"""A short soak of requests that crash servers, beside stops, kills and outages; fixed seeds.
+"""Short soaks of requests that crash servers, with fixed seeds.
 
-Longer ones: ``runkeel-lab soak --crashes``.
+``runkeel-lab soak --crashes`` runs longer ones.
 """
 
 import unittest
@@ -20,10 +20,10 @@
         self.assertGreater(report.answered, 100)
 
     def test_seed_7000(self):
-        """Beside much load four servers were reached late once, where three are allowed."""
+        """Guards against one late run more than allowed, seen on a busy machine."""
         self.assertEqual(CrashSoak(7000, SECONDS).run().violations, [])
 
-    def test_requests_that_are_never_held_back_are_found(self):
+    def test_missing_quarantine_is_detected(self):
         with mock.patch.object(crash_record, "ENDS_UNTIL_HELD", NEVER):
             report = CrashSoak(2, SECONDS).run()
         self.assertTrue([text for text in report.violations if "reached late" in text])
--- a/tests/users_platform/test_operations_soak.py
+++ b/tests/users_platform/test_operations_soak.py
@@ -1,6 +1,6 @@
-"""Short soaks of stops, restarts, configurations and outages that overlap; fixed seeds.
+"""Short soaks of overlapping operator actions and store outages, with fixed seeds.
 
-Longer ones: ``runkeel-lab soak --operations``.
+``runkeel-lab soak --operations`` runs longer ones.
 """
 
 import unittest
@@ -20,11 +20,11 @@
     def test_seed_1(self):
         self._soak(1)
 
-    def test_servers_that_came_back_unheard_of_203(self):
-        """Before returns were told, a node answered 503 on all plain routes in the end."""
+    def test_reappearing_servers_seed_203(self):
+        """Guards against a node that misses returned servers and answers 503 on plain routes."""
         self._soak(203)
 
-    def test_servers_that_came_back_unheard_of_206(self):
+    def test_reappearing_servers_seed_206(self):
         self._soak(206)
 
 
--- a/tests/users_platform/test_replay.py
+++ b/tests/users_platform/test_replay.py
@@ -1,4 +1,4 @@
-"""Recorded traces are replayed, and outcomes that differ are found."""
+"""Recorded traces replay without violations, and differing outcomes are detected."""
 
 import unittest
 from pathlib import Path
@@ -31,31 +31,31 @@
         self.addCleanup(replay._deployment.stop)
         return replay
 
-    def test_requests_that_are_no_longer_answered_are_found(self):
+    def test_missing_responses_are_detected(self):
         replay = self._replay(*(request(f"r{n}") for n in range(10)))
         replay._answered = {f"r{n}" for n in range(8)}
         replay._check_requests()
         self.assertEqual(replay.violations, ["2 of 10 requests not answered"])
 
-    def test_what_runs_twice_is_found(self):
+    def test_duplicate_runs_are_detected(self):
         replay = self._replay(request("once", RESERVE_PREFIX, ""))
         for server in replay._deployment.applications:
             server.runs.append(Run("once", f"{RESERVE_PREFIX}x", 0.0, "", ""))
         replay._check_requests()
         self.assertEqual(replay.violations, ["ran more than once: ['once']"])
 
-    def test_job_that_is_not_taken_any_more_is_found(self):
+    def test_rejected_job_is_detected(self):
         job = TraceEvent(0.0, "job", "edge-0", "j", {"items": 4}, COMPLETED)
         replay = self._replay(job)
         replay._check_jobs()
         self.assertEqual(replay.violations, ["j: not accepted in 5 tries"])
 
-    def test_unknown_act_is_found(self):
+    def test_unknown_act_is_detected(self):
         self.assertEqual(self._replay(TraceEvent(0.0, "dance")).run(), ["unknown act 'dance'"])
 
 
 class ParseTraceTest(unittest.TestCase):
-    def test_wrong_lines_are_named(self):
+    def test_error_names_the_malformed_line(self):
         for lines, problem in (
             ([], "empty"),
             (["{"], "line 1"),
--- a/tests/users_platform/test_servers_soak.py
+++ b/tests/users_platform/test_servers_soak.py
@@ -1,6 +1,6 @@
-"""A short soak of servers that start again under their id, beside another writer; fixed seeds.
+"""Short soaks of restarted servers and invalid entries, with fixed seeds.
 
-Longer ones: ``runkeel-lab soak --servers``.
+``runkeel-lab soak --servers`` runs longer ones.
 """
 
 import unittest
@@ -26,19 +26,19 @@
         self.assertEqual(report.violations, [])
         self.assertGreater(report.answered, 100)
 
-    def test_directory_that_passes_new_starts_over_is_found(self):
+    def test_directory_that_ignores_new_incarnations_is_detected(self):
         settle = ServerStarts.settle
 
-        def deaf(starts, backend, revision):
+        def settle_ignoring_new_incarnations(starts, backend, revision):
             known = starts._known.get(backend.backend_id)
-            over = known is not None and known.start != backend.start
-            return None if over else settle(starts, backend, revision)
+            is_new_incarnation = known is not None and known.start != backend.start
+            return None if is_new_incarnation else settle(starts, backend, revision)
 
-        with mock.patch.object(ServerStarts, "settle", deaf):
+        with mock.patch.object(ServerStarts, "settle", settle_ignoring_new_incarnations):
             report = ServersSoak(3, SECONDS).run()
         self.assertTrue([text for text in report.violations if "does not use" in text])
 
-    def test_parser_that_lets_wrong_entries_pass_is_found(self):
+    def test_parser_that_accepts_invalid_entries_is_detected(self):
         strict = translation.read_server
 
         def lenient(document):
--- a/tests/users_platform/test_soak.py
+++ b/tests/users_platform/test_soak.py
@@ -1,4 +1,4 @@
-"""Short fault soaks with fixed seeds; longer ones: ``runkeel-lab soak``."""
+"""Short fault soaks with fixed seeds; ``runkeel-lab soak`` runs longer ones."""
 
 import tempfile
 import unittest
--- a/tests/users_platform/test_soak_oracle.py
+++ b/tests/users_platform/test_soak_oracle.py
@@ -1,4 +1,4 @@
-"""The soak's oracle finds what it is there to find."""
+"""The checks of the soak detect each kind of violation."""
 
 import unittest
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 ITEMS = ["job-g0-0", "job-g0-1"]
 
 
-def whole_result(item_id):
+def complete_result(item_id):
     return {
         "Id": item_id,
         "State": "completed",
@@ -23,7 +23,7 @@
     def setUp(self):
         self.soak = Soak(1, 0.0)
         self.addCleanup(self.soak._deployment.stop)
-        self.results = [whole_result(item) for item in ITEMS]
+        self.results = [complete_result(item) for item in ITEMS]
 
     def _violations(self):
         return len(self.soak._report.violations)
@@ -33,10 +33,10 @@
         self.soak._check_results(JOB, ITEMS)
         return self._violations()
 
-    def test_whole_job(self):
+    def test_complete_job(self):
         self.assertEqual(self._check(self.results), 0)
 
-    def test_missing_and_doubled_items(self):
+    def test_missing_and_duplicate_items(self):
         self.assertEqual(self._check(self.results[:1]), 1)
         self.assertGreater(self._check([*self.results, self.results[0]]), 1)
 
