--- a/src/runkeel_lab/__init__.py
+++ b/src/runkeel_lab/__init__.py
@@ -1,1 +1,1 @@
-"""Emulator of the served systems, load, experiments and reports."""
+"""Stand-ins of external systems, soak tests, a demonstration, and log analysis."""
--- a/src/runkeel_lab/cli.py
+++ b/src/runkeel_lab/cli.py
@@ -112,9 +112,14 @@
     :param engines: numbers of engines and of servers; 40, 400 and 4,200 when none is given.
     :param waiting: items that wait for an engine.
     """
-    from runkeel_lab.decisions import SIZES, format_costs, measure, measure_quarantine
+    from runkeel_lab.decisions import (
+        DEFAULT_ENGINE_COUNTS,
+        format_costs,
+        measure,
+        measure_quarantine,
+    )
 
-    costs = [cost for size in engines or SIZES for cost in measure(size, waiting)]
+    costs = [cost for size in engines or DEFAULT_ENGINE_COUNTS for cost in measure(size, waiting)]
     print(format_costs([*costs, *measure_quarantine()]))
     return EXIT_OK
 
@@ -127,9 +132,9 @@
     :param wanted: id of the request, item or batch job.
     :param logs: files with the nodes' log lines, in any order.
     """
-    from runkeel_lab.story import format_story, read_lines, story_of
+    from runkeel_lab.story import collect_story, format_story, read_lines
 
-    found = story_of(read_lines(logs), wanted)
+    found = collect_story(read_lines(logs), wanted)
     print(format_story(found))
     return EXIT_OK if found else EXIT_VIOLATED
 
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -1,4 +1,4 @@
-"""What single decisions cost at several sizes of the fleet; no server is asked."""
+"""Microbenchmarks of single decisions at several fleet sizes; no request is sent."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.quarantine.trials import TrialAnswer
 
-SIZES = (40, 400, 4_200)
+DEFAULT_ENGINE_COUNTS = (40, 400, 4_200)
 _BODY = b"x" * 1_024
 _SERVICE = "engines"
 _MODEL = "m"
 _SLOTS = 6
-_REPEATS = 300
+_REPETITIONS = 300
 _ITEM_BODY = "Ym9keQ=="
 _MICROSECONDS = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionCost:
-    """Median and 99th percentile of one decision's time, in microseconds."""
+    """Median and 99th percentile of the time of one decision, in microseconds."""
 
     name: str
     engines: int
@@ -52,15 +52,15 @@
     p99_us: float
 
 
-class _SilentProtocol:
-    """Sends nothing: what is measured is the decision."""
+class _NullProtocol:
+    """Protocol that never sends, so that only the decision is measured."""
 
     def encode_generation(self, request: object, backend: Backend, remaining: float) -> None:
         gevent.sleep(3600.0)
 
 
 def measure(engines: int, waiting: int) -> list[DecisionCost]:
-    """Return the costs at a number of engines and of items that wait."""
+    """Measure decisions with a number of engines and of waiting items."""
     logger.remove()
     directory = BackendDirectory()
     for number in range(engines):
@@ -78,21 +78,21 @@
         placement.choose(job, item, _SERVICE)
 
     costs = [
-        _cost("choice of a server", engines, 0, choose_server),
-        _cost("choice of an engine", engines, 0, choose_engine),
+        _measure_cost("choice of a server", engines, 0, choose_server),
+        _measure_cost("choice of an engine", engines, 0, choose_engine),
     ]
-    scheduler = _full_scheduler(placement, directory, job)
-    costs.append(_cost("wake with nothing to do", engines, waiting, scheduler._place_all))
+    scheduler = _saturated_scheduler(placement, directory, job)
+    costs.append(_measure_cost("wake with nothing to do", engines, waiting, scheduler._place_all))
     scheduler.stop()
     return costs
 
 
 def measure_quarantine() -> list[DecisionCost]:
-    """Return what it costs to look whether a request is held back; records in place of engines."""
+    """Measure the quarantine check; ``engines`` in the result is the number of records."""
     quarantine = Quarantine(b"decisions", lambda record: TrialAnswer(False))
     request = PlainRequest("r", "POST", "/count/x", "host", (), _BODY, tenant="tenant")
 
-    def look() -> None:
+    def check_quarantine() -> None:
         identify = partial(quarantine.fingerprints.of_plain, request)
         _ = quarantine.watch(identify, _SERVICE, request.request_id).held
 
@@ -100,14 +100,14 @@
     for records in (0, 1, MAXIMUM_RECORDS):
         for number in range(records):
             quarantine.ledger.note_ended(f"{number:032x}", _SERVICE, "server")
-        costs.append(_cost("look at the quarantine", records, 0, look))
+        costs.append(_measure_cost("look at the quarantine", records, 0, check_quarantine))
     return costs
 
 
-def _full_scheduler(
+def _saturated_scheduler(
     placement: EnginePlacement, directory: BackendDirectory, job: BatchJob
 ) -> Scheduler:
-    """Return a scheduler whose items wait while no engine has room."""
+    """Return a scheduler whose items wait because all slots are in use."""
     for state in directory.all():
         for _ in range(_SLOTS):
             placement.take(state)
@@ -119,7 +119,7 @@
     scheduler = Scheduler(
         placement,
         routing,
-        _SilentProtocol(),
+        _NullProtocol(),
         None,
         lambda backend_id, model: False,
         Quarantine(b"decisions", lambda record: TrialAnswer(False)),
@@ -143,12 +143,14 @@
     )
 
 
-def _cost(name: str, engines: int, waiting: int, decide: Callable[[], None]) -> DecisionCost:
+def _measure_cost(
+    name: str, engines: int, waiting: int, decide: Callable[[], None]
+) -> DecisionCost:
     times = []
-    for _ in range(_REPEATS):
-        began = time.perf_counter()
+    for _ in range(_REPETITIONS):
+        started = time.perf_counter()
         decide()
-        times.append((time.perf_counter() - began) * _MICROSECONDS)
+        times.append((time.perf_counter() - started) * _MICROSECONDS)
     times.sort()
     return DecisionCost(
         name, engines, waiting, statistics.median(times), times[int(0.99 * len(times))]
@@ -156,7 +158,7 @@
 
 
 def format_costs(costs: list[DecisionCost]) -> str:
-    """Return a line for each cost."""
+    """Return a table with one line per cost."""
     lines = [f"{'decision':26} {'engines':>8} {'waiting':>8} {'median us':>10} {'p99 us':>10}"]
     lines += [
         f"{one.name:26} {one.engines:8,} {one.waiting:8,} {one.median_us:10.1f} {one.p99_us:10.1f}"
--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a small deployment of the program that serves, checked by what servers saw."""
+"""Demonstration: runs a small deployment and checks it against what clients and servers saw."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from runkeel.api.duties import UsageSettings
 from runkeel.clock import steady_seconds
-from runkeel_lab.day_picture import DayPicture
+from runkeel_lab.day_picture import RunChart
 from runkeel_lab.users_platform.deployment import (
     COUNT_PREFIX,
     MODEL,
@@ -29,16 +29,16 @@
 STEPS = 3
 GROUPS = 6
 GROUP_SIZE = 4
-LONGEST_WAIT_SECONDS = 15.0
-DRAINED_SECONDS = 1.5
-"""A server that says that it leaves gets nothing new after so long."""
+WAIT_TIMEOUT_SECONDS = 15.0
+DRAIN_PROPAGATION_SECONDS = 1.5
+"""Time after which a draining server must get no new requests."""
 
 KITCHEN_KEY = "demo-kitchen"
 SCHOOL_KEY = "demo-school"
 SCHOOL_SECOND_KEY = "demo-school-2"
 _KITCHEN = tenant("kitchen", KITCHEN_KEY)
 USAGE = UsageSettings(window_seconds=1.0, late_seconds=4.0)
-"""Shorter than on a platform, so that a report can be waited for."""
+"""Shorter windows than in production, so that the demonstration can wait for a report."""
 
 _WIDTH_WITHOUT_TERMINAL = 150
 _POLL_SECONDS = 0.02
@@ -47,27 +47,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """One thing that the demonstration shows; ``evidence`` says what was seen."""
+    """Result of one check; ``evidence`` describes what was observed."""
 
     name: str
     holds: bool
     evidence: str
 
 
-class NotSeenError(Exception):
-    """Something did not come in time."""
+class DemoPartError(Exception):
+    """A part of the demonstration failed or timed out."""
 
 
 class Demo:
-    """Shows one thing after another on a deployment that is up."""
+    """Runs the parts of the demonstration on a started deployment."""
 
-    def __init__(self, deployment: Deployment, picture: DayPicture) -> None:
+    def __init__(self, deployment: Deployment, chart: RunChart) -> None:
         self.checks: list[Check] = []
         self._deployment = deployment
-        self._picture = picture
+        self._chart = chart
 
     def run(self, console: Console) -> None:
-        """Show everything."""
+        """Run all parts and print the duration of each."""
         parts: tuple[tuple[str, Callable[[], None]], ...] = (
             ("lookups through every edge node", self._lookups),
             ("two tenants, one key taken away", self._tenants),
@@ -79,33 +79,35 @@
             ("what the tenants used", self._usage),
         )
         for title, part in parts:
-            began = steady_seconds()
-            self._picture.mark(title)
+            started = steady_seconds()
+            self._chart.add_mark(title)
             try:
                 part()
-            except NotSeenError as error:
+            except DemoPartError as error:
                 self._check(title, False, str(error))
-            console.print(f"{title}: {steady_seconds() - began:.1f} s", markup=False)
+            console.print(f"{title}: {steady_seconds() - started:.1f} s", markup=False)
 
     def _check(self, name: str, holds: bool, evidence: str) -> None:
         self.checks.append(Check(name, holds, evidence))
 
     def _wait(self, what: str, condition: Callable[[], object]) -> object:
-        deadline = steady_seconds() + LONGEST_WAIT_SECONDS
+        deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
         while not (value := condition()):
             if steady_seconds() > deadline:
-                raise NotSeenError(f"{what}: not within {LONGEST_WAIT_SECONDS:.0f} s")
+                raise DemoPartError(f"{what}: not within {WAIT_TIMEOUT_SECONDS:.0f} s")
             gevent.sleep(_POLL_SECONDS)
         return value
 
     def _send(self, edge: str, prefix: str, request_id: str, key: str = KITCHEN_KEY) -> int:
-        """Send a request; returns the status, 0 without an answer that is its own."""
-        began = steady_seconds()
+        """Send a request; return the status, 0 without a response or with a wrong body."""
+        started = steady_seconds()
         headers = {"Attempt-Id": request_id} | _DEADLINE | with_key(key)
-        answer = self._deployment.call(edge, "POST", f"{prefix}rice", headers, request_id.encode())
-        status = answer.status if answer is not None else 0
-        self._picture.request(began, steady_seconds(), status)
-        if status == 200 and answer.body != f"echo {request_id}".encode():
+        response = self._deployment.call(
+            edge, "POST", f"{prefix}rice", headers, request_id.encode()
+        )
+        status = response.status if response is not None else 0
+        self._chart.add_request(started, steady_seconds(), status)
+        if status == 200 and response.body != f"echo {request_id}".encode():
             return 0
         return status
 
@@ -121,9 +123,9 @@
             for number, request_id in enumerate(ids)
         ]
         gevent.joinall(tasks)
-        answered = sum(task.value == 200 for task in tasks)
-        detail = f"{answered} of {len(ids)}"
-        self._check("whole answers to their own requests", answered == len(ids), detail)
+        succeeded = sum(task.value == 200 for task in tasks)
+        detail = f"{succeeded} of {len(ids)}"
+        self._check("whole answers to their own requests", succeeded == len(ids), detail)
 
     def _tenants(self) -> None:
         deployment = self._deployment
@@ -131,32 +133,36 @@
         statuses = {
             name: self._send("edge-0", COUNT_PREFIX, name, key) for name, key in keys.items()
         }
-        told = [
+        tenants_seen = [
             run.headers.get("tenant")
             for server in deployment.applications
             for run in server.runs
             if run.request_id == "school"
         ]
-        holds = statuses == {"none": 401, "unknown": 401, "school": 200} and told == ["school"]
-        self._check("only known keys, servers told the tenant", holds, f"{statuses}, told {told}")
+        holds = statuses == {"none": 401, "unknown": 401, "school": 200} and tenants_seen == [
+            "school"
+        ]
+        self._check(
+            "only known keys, servers told the tenant", holds, f"{statuses}, told {tenants_seen}"
+        )
         tenants = (_KITCHEN, tenant("school", SCHOOL_SECOND_KEY))
         deployment.configure(configuration(2, tenants=tenants))
-        began = steady_seconds()
+        started = steady_seconds()
         self._wait(
             "the refusal of a key that was taken away",
             lambda: self._send("edge-1", COUNT_PREFIX, "taken", SCHOOL_KEY) == 401,
         )
-        detail = f"refused after {steady_seconds() - began:.2f} s"
+        detail = f"refused after {steady_seconds() - started:.2f} s"
         self._check("a key that is taken away", True, detail)
 
     def _usage(self) -> None:
-        """Compare what was reported with what servers ran, once all windows are over."""
+        """Compare reported usage with the runs of the servers, once the last window is reported."""
         ran: dict[str, set[str]] = {}
         for server in self._deployment.applications:
             for run in server.runs:
                 if "tenant" in run.headers:
                     ran.setdefault(run.headers["tenant"], set()).add(run.request_id)
-        truth = {name: len(requests) for name, requests in ran.items()}
+        expected = {name: len(requests) for name, requests in ran.items()}
 
         def reported() -> dict[str, int]:
             totals: dict[str, int] = {}
@@ -166,9 +172,11 @@
                     totals[name] = totals.get(name, 0) + count
             return totals
 
-        self._wait("the report of the last window", lambda: reported() == truth)
+        self._wait("the report of the last window", lambda: reported() == expected)
         problems = self._deployment.duties.problems()
-        detail = problems[0] if problems else f"{truth} in {len(self._deployment.duties.reports)}"
+        detail = (
+            problems[0] if problems else f"{expected} in {len(self._deployment.duties.reports)}"
+        )
         self._check("usage reported once and in full", not problems, f"{detail} windows")
 
     def _outage(self) -> None:
@@ -186,10 +194,12 @@
             self._wait("the items' runs", lambda: ran() >= len(items))
         finally:
             self._deployment.store.refused = False
-        results = self._whole("outage", len(items))
-        whole = sum(result.get("Text") == whole_text(result["Id"]) for result in results)
-        detail = f"status {status}, {whole} of {len(items)} whole once it was back"
-        self._check("a job is taken while the store is away", status == 202 and whole == 8, detail)
+        results = self._wait_for_results("outage", len(items))
+        complete = sum(result.get("Text") == whole_text(result["Id"]) for result in results)
+        detail = f"status {status}, {complete} of {len(items)} whole once it was back"
+        self._check(
+            "a job is taken while the store is away", status == 202 and complete == 8, detail
+        )
 
     def _reservations(self) -> None:
         servers = self._deployment.applications
@@ -217,37 +227,37 @@
         samples = 0
         problems: list[str] = []
         for step in range(1, STEPS + 1):
-            results = self._step(step, f"step-{step}")
+            results = self._run_step(step, f"step-{step}")
             samples += len(results)
-            problems += self._problems(results, step)
+            problems += self._find_defects(results, step)
             if step < STEPS:
-                self._next_version(step + 1)
+                self._publish_version(step + 1)
         wanted = STEPS * GROUPS * GROUP_SIZE
         detail = f"{samples} of {wanted} samples in {STEPS} steps"
         self._check("each step whole", samples == wanted, detail)
         detail = problems[0] if problems else f"versions 1 to {STEPS}, each in its own step"
         self._check("each sample labelled and scored truly", not problems, detail)
 
-    def _step(self, version: int, job_id: str) -> list[dict]:
-        began = steady_seconds()
+    def _run_step(self, version: int, job_id: str) -> list[dict]:
+        started = steady_seconds()
         items = [
             f"{job_id}-g{group}-{number}" for group in range(GROUPS) for number in range(GROUP_SIZE)
         ]
         if self._deployment.submit("edge-0", job_id, items, version, KITCHEN_KEY) != 202:
-            raise NotSeenError(f"{job_id} was not accepted")
-        results = self._whole(job_id, len(items))
-        self._picture.step(began, steady_seconds(), version)
+            raise DemoPartError(f"{job_id} was not accepted")
+        results = self._wait_for_results(job_id, len(items))
+        self._chart.add_step(started, steady_seconds(), version)
         return results
 
-    def _whole(self, job_id: str, count: int) -> list[dict]:
+    def _wait_for_results(self, job_id: str, count: int) -> list[dict]:
         def read() -> list[dict] | None:
             results = self._deployment.results("edge-1", job_id, key=KITCHEN_KEY)
             return results if results is not None and len(results) == count else None
 
         return self._wait(f"the results of {job_id}", read)
 
-    def _problems(self, results: list[dict], version: int) -> list[str]:
-        """Return what is wrong with samples that one version must have made."""
+    def _find_defects(self, results: list[dict], version: int) -> list[str]:
+        """Return defects of samples that must all have been generated by one version."""
         problems = []
         for result in results:
             name = result["Id"]
@@ -259,23 +269,23 @@
                 problems.append(f"{name}: score {result.get('Score')}")
         return problems
 
-    def _next_version(self, version: int) -> None:
-        """Name a version, as a trainer does; engines follow as far as the jobs need them."""
-        began = steady_seconds()
+    def _publish_version(self, version: int) -> None:
+        """Publish a version, as a trainer does, and wait until an engine has loaded it."""
+        started = steady_seconds()
         self._deployment.name_version(version)
 
-        def moved() -> int:
+        def engines_at_version() -> int:
             return sum(one.versions[MODEL] == version for one in self._deployment.engines)
 
-        self._wait(f"version {version} at an engine", moved)
-        seconds = steady_seconds() - began
-        self._picture.version(steady_seconds(), version)
+        self._wait(f"version {version} at an engine", engines_at_version)
+        seconds = steady_seconds() - started
+        self._chart.add_version(steady_seconds(), version)
         self._check(f"engines follow version {version}", True, f"{seconds:.1f} s after its name")
 
     def _drain(self) -> None:
         server = self._deployment.applications[0]
         server.drain()
-        gevent.sleep(DRAINED_SECONDS)
+        gevent.sleep(DRAIN_PROPAGATION_SECONDS)
         before = len(server.runs)
         edges = self._deployment.edge_names
         statuses = [
@@ -292,26 +302,28 @@
         names = (f"last-g{number}-{number}" for number in range(400))
         items = [name for name in names if event_count(name) > 30][:6]
         if self._deployment.submit("edge-0", "last", items, STEPS, KITCHEN_KEY) != 202:
-            raise NotSeenError("the last job was not accepted")
+            raise DemoPartError("the last job was not accepted")
         gevent.sleep(1.2)
         (victim,) = self._deployment.coordinators()
         self._deployment.kill_node(victim)
-        self._picture.mark(f"{victim} dies")
-        results = self._whole("last", len(items))
-        whole = sum(result.get("Text") == whole_text(result["Id"]) for result in results)
+        self._chart.add_mark(f"{victim} dies")
+        results = self._wait_for_results("last", len(items))
+        complete = sum(result.get("Text") == whole_text(result["Id"]) for result in results)
         resumed = sum(
             bool(run.resumed_after) for engine in self._deployment.engines for run in engine.runs
         )
         (successor,) = self._deployment.coordinators()
-        detail = f"{whole} of {len(items)} whole, {resumed} continued, by {successor}"
-        self._check("a job outlives its coordinator", whole == len(items) and resumed > 0, detail)
+        detail = f"{complete} of {len(items)} whole, {resumed} continued, by {successor}"
+        self._check(
+            "a job outlives its coordinator", complete == len(items) and resumed > 0, detail
+        )
 
 
 def run_demo(out: Path) -> bool:
-    """Run the demonstration; return whether everything held.
+    """Run the demonstration; return whether all checks passed.
 
     Args:
-        out: folder for the nodes' log lines and the picture of the day.
+        out: folder for the nodes' log and the chart.
     """
     out.mkdir(parents=True, exist_ok=True)
     console = Console()
@@ -319,7 +331,7 @@
         console = Console(width=_WIDTH_WITHOUT_TERMINAL)
     logger.remove()
     logger.add(out / "nodes.log", serialize=True, mode="w")
-    began = steady_seconds()
+    started = steady_seconds()
     tenants = (_KITCHEN, tenant("school", SCHOOL_KEY, SCHOOL_SECOND_KEY))
     deployment = Deployment(
         SEED, edges=3, disks=3, engines=4, applications=3, tenants=tenants, usage=USAGE
@@ -330,16 +342,18 @@
         console.print(
             f"{len(deployment.node_names)} nodes, {len(deployment.engines)} engines, "
             f"{len(deployment.applications)} servers on loopback, "
-            f"up after {steady_seconds() - began:.1f} s; log lines in {out / 'nodes.log'}"
+            f"up after {steady_seconds() - started:.1f} s; log lines in {out / 'nodes.log'}"
         )
-        picture = DayPicture()
-        demo = Demo(deployment, picture)
+        chart = RunChart()
+        demo = Demo(deployment, chart)
         demo.run(console)
     finally:
         deployment.stop()
     _print_checks(demo.checks, console)
-    picture.write(out / "day.png")
-    console.print(f"picture of the day: {out / 'day.png'}; {steady_seconds() - began:.1f} s in all")
+    chart.write(out / "day.png")
+    console.print(
+        f"picture of the day: {out / 'day.png'}; {steady_seconds() - started:.1f} s in all"
+    )
     return all(check.holds for check in demo.checks)
 
 
--- a/src/runkeel_lab/step_bound.py
+++ b/src/runkeel_lab/step_bound.py
@@ -1,9 +1,10 @@
-"""How far each training step was from the earliest end that its engines allowed, and why.
+"""Lag of each training step behind a lower bound of its duration, by cause.
 
-The bound is worked out from a day's log lines: the items' true lengths, the engines that ran any,
-the slots that were in use at once, and the pace of the faster half of them. All items go to free
-slots, the longest of a step first; versions, the coordinator and the store cost nothing. A step's
-lag is what it took beyond that, until as many items were listed as trainers usually wait for.
+The bound is computed from log lines: the lengths of the items, the engines that ran items, their
+peak number of slots in use, and the time per event of the faster half of the engines. Items are
+placed on free slots, longest first within a step; version loads, the coordinator and the store are
+assumed to take no time. A step lasts until ``AWAITED_SHARE`` of its items are listed; its lag is
+the time beyond the bound.
 """
 
 from __future__ import annotations
@@ -14,24 +15,27 @@
 from dataclasses import dataclass
 from typing import Any
 
-from runkeel_lab.step_times import MOST_LISTED, ItemRun, StepTimes, collect_steps
+from runkeel_lab.step_times import AWAITED_SHARE, ItemRun, StepTimes, collect_steps
 
-LEAST_EVENTS = 8
-"""Runs of fewer events say little of an engine's pace: their prompt weighs too much."""
+MIN_EVENTS = 8
+"""Shorter runs are ignored for the time per event, since the prompt dominates them."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepLag:
-    """One step against its bound; seconds.
+    """Duration of one step compared with its bound; times in seconds.
+
+    The deciding item is the one whose end completes the share ``AWAITED_SHARE``.
 
     Attributes:
-        bound: from the acceptance to the earliest end of so many items.
-        took: from the acceptance until so many were listed; None: they never were.
-        waited: until the deciding item first ran: room, versions, the coordinator.
-        repeated: for events of it that were made more than once.
-        slow: for its other runs beyond the usual pace: slow engines, loads of versions.
-        between: between its runs.
-        listing: from its last run's end until it was listed.
+        bound: lower bound of the time from acceptance until the share has ended.
+        took: time from acceptance until the share was listed; None if it never was.
+        waited: time until the first run of the deciding item, for lack of a slot, a weight
+            version or a coordinator.
+        repeated: time for its events that were generated more than once.
+        slow: time of its runs beyond the usual time per event.
+        between: time between its runs.
+        listing: time from the end of its last run until it was listed.
     """
 
     step: int
@@ -46,69 +50,71 @@
 
     @property
     def lag(self) -> float:
-        """What the step took beyond the bound; 0 if it was never listed so far."""
+        """Time in seconds beyond the bound; 0 if the share was never listed."""
         return 0.0 if self.took is None else max(0.0, self.took - self.bound)
 
 
 def step_lags(lines: Iterable[dict[str, Any]]) -> list[StepLag]:
-    """Return the lag of each step that the lines tell of, in order of acceptance."""
+    """Return the lag of each step in the log lines, in order of acceptance."""
     steps = [step for step in collect_steps(lines) if step.runs]
-    pace = _pace(steps)
-    slots = _slots(steps)
-    if not steps or not slots or not pace:
+    seconds_per_event = _seconds_per_event(steps)
+    slots = _slot_count(steps)
+    if not steps or not slots or not seconds_per_event:
         return []
     free_at = [steps[0].accepted] * slots
     heapq.heapify(free_at)
-    return [_lag(step, pace, free_at) for step in steps]
+    return [_lag(step, seconds_per_event, free_at) for step in steps]
 
 
 def format_lags(lags: list[StepLag]) -> str:
-    """Return a table of the lags and their sum by cause."""
+    """Return a table of the lags by cause, and their total."""
     if not lags:
         return "no step with runs in these lines"
-    shown = ["step model           bound   took    lag | waited repeated slow between listing"]
-    shown.extend(_format(lag) for lag in lags)
+    rows = ["step model           bound   took    lag | waited repeated slow between listing"]
+    rows.extend(_format(lag) for lag in lags)
     listed = [lag for lag in lags if lag.took is not None]
     bound, total = sum(lag.bound for lag in listed), sum(lag.lag for lag in listed)
     share = 100 * total / bound if bound else 0.0
-    shown.append(
+    rows.append(
         f"{len(listed)} of {len(lags)} steps listed; "
         f"lag {total:.1f} s, {share:.0f}% above the bound"
     )
-    return "\n".join(shown)
+    return "\n".join(rows)
 
 
 def _format(lag: StepLag) -> str:
     took = "-" if lag.took is None else f"{lag.took:.2f}"
     causes = (lag.waited, lag.repeated, lag.slow, lag.between, lag.listing)
-    told = " ".join(f"{cause:7.2f}" for cause in causes)
-    return f"{lag.step:>4} {lag.model:<12} {lag.bound:8.2f} {took:>6} {lag.lag:6.2f} | {told}"
+    cells = " ".join(f"{cause:7.2f}" for cause in causes)
+    return f"{lag.step:>4} {lag.model:<12} {lag.bound:8.2f} {took:>6} {lag.lag:6.2f} | {cells}"
 
 
-def _lag(step: StepTimes, pace: float, free_at: list[float]) -> StepLag:
+def _lag(step: StepTimes, seconds_per_event: float, free_at: list[float]) -> StepLag:
     items = _runs_by_item(step)
-    lengths = sorted((_length(runs) * pace for runs in items.values()), reverse=True)
+    durations = sorted(
+        (_event_count(runs) * seconds_per_event for runs in items.values()), reverse=True
+    )
     ends = []
-    for seconds in lengths:
+    for seconds in durations:
         end = max(heapq.heappop(free_at), step.accepted) + seconds
         heapq.heappush(free_at, end)
         ends.append(end)
-    wanted = max(1, int(MOST_LISTED * len(ends)))
+    wanted = max(1, int(AWAITED_SHARE * len(ends)))
     bound = sorted(ends)[wanted - 1] - step.accepted
-    listed_at = step.listed_share(MOST_LISTED)
+    listed_at = step.time_of_listed_share(AWAITED_SHARE)
     if listed_at is None:
         return StepLag(step.step, step.model, bound, None)
     deciding = sorted(items.values(), key=lambda runs: runs[-1].ended)[wanted - 1]
-    return _with_causes(step, deciding, bound, listed_at, pace)
+    return _with_causes(step, deciding, bound, listed_at, seconds_per_event)
 
 
 def _with_causes(
-    step: StepTimes, runs: list[ItemRun], bound: float, listed_at: float, pace: float
+    step: StepTimes, runs: list[ItemRun], bound: float, listed_at: float, seconds_per_event: float
 ) -> StepLag:
-    made = sum(run.events for run in runs)
-    ran = sum(run.ended - run.began for run in runs)
-    between = runs[-1].ended - runs[0].began - ran
-    repeated = max(0, made - _length(runs)) * pace
+    generated = sum(run.events for run in runs)
+    run_seconds = sum(run.ended - run.began for run in runs)
+    between = runs[-1].ended - runs[0].began - run_seconds
+    repeated = max(0, generated - _event_count(runs)) * seconds_per_event
     return StepLag(
         step.step,
         step.model,
@@ -116,7 +122,7 @@
         listed_at - step.accepted,
         waited=max(0.0, runs[0].began - step.accepted),
         repeated=repeated,
-        slow=max(0.0, ran - made * pace),
+        slow=max(0.0, run_seconds - generated * seconds_per_event),
         between=max(0.0, between),
         listing=max(0.0, listed_at - runs[-1].ended),
     )
@@ -129,37 +135,37 @@
     return items
 
 
-def _length(runs: list[ItemRun]) -> int:
-    """Return the events of an item's text, as far as any of its runs came."""
-    return max(_first_event(run) + run.events for run in runs)
+def _event_count(runs: list[ItemRun]) -> int:
+    """Return the number of events of an item's output, up to the furthest of its runs."""
+    return max(_resume_offset(run) + run.events for run in runs)
 
 
-def _first_event(run: ItemRun) -> int:
+def _resume_offset(run: ItemRun) -> int:
     return int(run.resumed_after) if run.resumed_after.isdigit() else 0
 
 
-def _pace(steps: list[StepTimes]) -> float:
-    """Return the seconds per event of the faster half of the engines."""
+def _seconds_per_event(steps: list[StepTimes]) -> float:
+    """Return the median seconds per event of the faster half of the engines."""
     by_engine: dict[str, list[float]] = {}
     for step in steps:
         for run in step.runs:
-            if run.events >= LEAST_EVENTS and run.outcome == "complete":
+            if run.events >= MIN_EVENTS and run.outcome == "complete":
                 by_engine.setdefault(run.backend, []).append((run.ended - run.began) / run.events)
-    paces = sorted(statistics.median(paces) for paces in by_engine.values())
-    return statistics.median(paces[: max(1, len(paces) // 2)]) if paces else 0.0
+    samples = sorted(statistics.median(samples) for samples in by_engine.values())
+    return statistics.median(samples[: max(1, len(samples) // 2)]) if samples else 0.0
 
 
-def _slots(steps: list[StepTimes]) -> int:
-    """Return how many slots the engines have: the most that ran at each at once."""
+def _slot_count(steps: list[StepTimes]) -> int:
+    """Return the estimated total of slots: engines times the peak of concurrent runs of any."""
     changes: dict[str, list[tuple[float, int]]] = {}
     for step in steps:
         for run in step.runs:
             changes.setdefault(run.backend, []).extend([(run.began, 1), (run.ended, -1)])
-    most = []
+    peaks = []
     for of_engine in changes.values():
-        running = highest = 0
+        running = peak = 0
         for _, change in sorted(of_engine):
             running += change
-            highest = max(highest, running)
-        most.append(highest)
-    return len(most) * max(most, default=0)
+            peak = max(peak, running)
+        peaks.append(peak)
+    return len(peaks) * max(peaks, default=0)
--- a/src/runkeel_lab/step_times.py
+++ b/src/runkeel_lab/step_times.py
@@ -1,7 +1,7 @@
-"""Shows from the nodes' log lines where the time of each training step went.
+"""Breakdown of the time of each training step, from the nodes' log lines.
 
-A step is one batch job. Its way: accepted, items begin, runs end, results listed, ended by the
-trainer. The last items of a step, run by run, tell what it waited for.
+A step is one batch job. Its stages are: accepted, first runs of the items start, runs end, results
+are listed, ended by the trainer. The runs of the items that ended last show what delayed the step.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MOST_LISTED = 0.9
-"""The share of the items that trainers usually wait for."""
+AWAITED_SHARE = 0.9
+"""Share of the items that trainers usually wait for."""
 
-MARKS = (
+MARK_CODES = (
     "version_named",
     "engine_version",
     "coordinator_gained",
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class StepTimes:
-    """What the lines tell of one step; ``None`` where nothing was seen."""
+    """Times of one step in seconds since the epoch; None if not in the log lines."""
 
     job_id: str
     model: str
@@ -51,12 +51,12 @@
     listed: list[tuple[float, int]] = field(default_factory=list)
     ended: float | None = None
 
-    def listed_share(self, share: float) -> float | None:
-        """Return when so large a part of the items was listed."""
+    def time_of_listed_share(self, share: float) -> float | None:
+        """Return the time at which a share of the items was listed, or None."""
         return next((at for at, count in self.listed if count >= share * self.items), None)
 
     def last_items(self, count: int) -> list[list[ItemRun]]:
-        """Return the runs of the items that ended last, the last one first."""
+        """Return the runs of the ``count`` items that ended last, latest first."""
         by_item: dict[str, list[ItemRun]] = {}
         for run in self.runs:
             by_item.setdefault(run.item_id, []).append(run)
@@ -65,7 +65,7 @@
 
 
 def collect_steps(lines: Iterable[dict[str, Any]]) -> list[StepTimes]:
-    """Return the steps that the lines tell of, in order of acceptance."""
+    """Return the steps in the log lines, in order of acceptance."""
     steps: dict[str, StepTimes] = {}
     for line in lines:
         job_id, code = line.get("job"), line["code"]
@@ -86,21 +86,21 @@
 
 
 def format_steps(lines: list[dict[str, Any]], last_items: int = 3) -> str:
-    """Return the table of steps, their last items and the marks between them."""
+    """Return a table of the steps with their last items, followed by the marks."""
     steps = collect_steps(lines)
     if not steps:
         return "no step in these lines"
     start = steps[0].accepted
-    shown = [
+    rows = [
         "step model        accepted | began first  half  last | last run ends"
         " | listed 90%   all | ended | outcomes"
     ]
     for step in steps:
-        shown.append(_format_step(step, start))
+        rows.append(_format_step(step, start))
         for runs in step.last_items(last_items):
-            shown.append(f"       {runs[0].item_id} {_format_runs(runs, step.accepted)}")
-    shown.extend(_format_mark(line, start) for line in lines if line["code"] in MARKS)
-    return "\n".join(shown)
+            rows.append(f"       {runs[0].item_id} {_format_runs(runs, step.accepted)}")
+    rows.extend(_format_mark(line, start) for line in lines if line["code"] in MARK_CODES)
+    return "\n".join(rows)
 
 
 def _item_run(line: dict[str, Any]) -> ItemRun:
@@ -119,14 +119,16 @@
     began = sorted(run.began for run in step.runs) or [None]
     last_end = max((run.ended for run in step.runs), default=None)
     times = [began[0], began[len(began) // 2], began[-1], last_end]
-    times += [step.listed_share(MOST_LISTED), step.listed_share(1.0), step.ended]
-    first, half, last, end, most, whole, ended = (_since(at, step.accepted) for at in times)
+    times += [step.time_of_listed_share(AWAITED_SHARE), step.time_of_listed_share(1.0), step.ended]
+    first, half, last, end, most, complete, ended = (
+        _format_delay(at, step.accepted) for at in times
+    )
     outcomes = ", ".join(
         f"{outcome} {count}" for outcome, count in Counter(r.outcome for r in step.runs).items()
     )
     return (
         f"{step.step:>4} {step.model:<12} {step.accepted - start:8.2f} | {first:>11} {half:>5}"
-        f" {last:>5} | {end:>13} | {most:>10} {whole:>5} | {ended:>5} | {outcomes}"
+        f" {last:>5} | {end:>13} | {most:>10} {complete:>5} | {ended:>5} | {outcomes}"
     )
 
 
@@ -139,9 +141,9 @@
 
 
 def _format_mark(line: dict[str, Any], start: float) -> str:
-    told = " ".join(f"{key}={line[key]}" for key in _MARK_FIELDS if key in line)
-    return f"{line['time'] - start:8.2f} {line['node']} {line['code']} {told}"
+    fields = " ".join(f"{key}={line[key]}" for key in _MARK_FIELDS if key in line)
+    return f"{line['time'] - start:8.2f} {line['node']} {line['code']} {fields}"
 
 
-def _since(at: float | None, accepted: float) -> str:
+def _format_delay(at: float | None, accepted: float) -> str:
     return "-" if at is None else f"{at - accepted:.2f}"
--- a/src/runkeel_lab/story.py
+++ b/src/runkeel_lab/story.py
@@ -1,4 +1,4 @@
-"""Prints the story of a request, an item or a batch job from the nodes' log lines."""
+"""Timeline of a request, an item or a batch job from the nodes' log lines."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-_HIDDEN = ("time", "node", "zone", "level", "message")
-_RELATED = ("job",)
+_HIDDEN_FIELDS = ("time", "node", "zone", "level", "message")
+_JOB_KEYS = ("job",)
 _CONTEXT_CODES = (
     "start",
     "stop",
@@ -24,7 +24,7 @@
 
 
 def read_lines(paths: Iterable[Path]) -> list[dict[str, Any]]:
-    """Read the JSON objects of log files, in order of time; what is before one is passed over."""
+    """Read the JSON objects in log files, sorted by time; text before an object is skipped."""
     lines = []
     for path in paths:
         for text in path.read_text(errors="replace").splitlines():
@@ -41,35 +41,37 @@
     return lines
 
 
-def story_of(lines: list[dict[str, Any]], wanted: str) -> list[dict[str, Any]]:
-    """Return the lines about an id and, for an item, those about its job's fate."""
-    own = [line for line in lines if wanted in _ids(line)]
-    jobs = {line[key] for line in own for key in _RELATED if line.get(key)}
-    about_jobs = [
+def collect_story(lines: list[dict[str, Any]], subject_id: str) -> list[dict[str, Any]]:
+    """Return the lines about an id, the job-level lines of its job, and concurrent node events."""
+    matching = [line for line in lines if subject_id in _ids(line)]
+    jobs = {line[key] for line in matching for key in _JOB_KEYS if line.get(key)}
+    job_lines = [
         line for line in lines if line.get("job") in jobs and line["code"].startswith("job")
     ]
-    chosen = {id(line): line for line in [*own, *about_jobs]}
-    if not chosen:
+    selected = {id(line): line for line in [*matching, *job_lines]}
+    if not selected:
         return []
-    first = min(line["time"] for line in chosen.values()) - 1.0
-    last = max(line["time"] for line in chosen.values()) + 1.0
+    first = min(line["time"] for line in selected.values()) - 1.0
+    last = max(line["time"] for line in selected.values()) + 1.0
     for line in lines:
         if line["code"] in _CONTEXT_CODES and first <= line["time"] <= last:
-            chosen[id(line)] = line
-    return sorted(chosen.values(), key=lambda line: line["time"])
+            selected[id(line)] = line
+    return sorted(selected.values(), key=lambda line: line["time"])
 
 
 def format_story(story: list[dict[str, Any]]) -> str:
-    """Return a line of text for each log line, with times from the first one."""
+    """Format each log line as one line of text, with times in seconds from the first."""
     if not story:
         return "nothing is known of this id"
     start = story[0]["time"]
     rows = []
     for line in story:
-        rest = " ".join(
-            f"{key}={value}" for key, value in line.items() if key not in _HIDDEN and value != ""
+        fields = " ".join(
+            f"{key}={value}"
+            for key, value in line.items()
+            if key not in _HIDDEN_FIELDS and value != ""
         )
-        rows.append(f"{line['time'] - start:9.3f} s  {line['node']}  {line['message']}: {rest}")
+        rows.append(f"{line['time'] - start:9.3f} s  {line['node']}  {line['message']}: {fields}")
     return "\n".join(rows)
 
 
--- a/src/runkeel_lab/users_platform/servers_soak.py
+++ b/src/runkeel_lab/users_platform/servers_soak.py
@@ -26,7 +26,7 @@
 """Time until a server rewrites an entry that another writer has overwritten."""
 
 SETTLE_TIMEOUT_SECONDS = 6.0
-"""Maximum time until all nodes use a returned server; nodes avoid a server for up to 4 s."""
+"""Maximum time until all nodes use a returned server; must exceed the longest ejection."""
 
 FOREIGN_PREFIX = "foreign-"
 FOREIGN_ENTRY_COUNT = 4
--- a/tests/lab/__init__.py
+++ b/tests/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the lab."""
+"""Tests of runkeel_lab."""
--- a/tests/lab/test_demo.py
+++ b/tests/lab/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration holds, and says so where something does not."""
+"""The demonstration passes all checks, and reports a check that fails."""
 
 import contextlib
 import io
@@ -17,17 +17,17 @@
             holds = demo.run_demo(Path(folder))
         return holds, printed.getvalue()
 
-    def test_everything_holds_and_is_shown(self):
+    def test_all_checks_pass(self):
         with tempfile.TemporaryDirectory() as folder:
             holds, printed = self._run(folder)
             self.assertTrue(holds, printed)
             self.assertNotIn("NO", printed)
             self.assertTrue((Path(folder) / "day.png").stat().st_size)
 
-    def test_what_does_not_come_is_shown(self):
+    def test_timeout_is_reported(self):
         with (
             tempfile.TemporaryDirectory() as folder,
-            mock.patch.object(demo, "LONGEST_WAIT_SECONDS", 0.0),
+            mock.patch.object(demo, "WAIT_TIMEOUT_SECONDS", 0.0),
         ):
             holds, printed = self._run(folder)
         self.assertFalse(holds)
--- a/tests/lab/test_step_bound.py
+++ b/tests/lab/test_step_bound.py
@@ -1,4 +1,4 @@
-"""The bound on a step's end, and the causes of its lag."""
+"""Lower bound of the duration of a step, and the causes of its lag."""
 
 import unittest
 
@@ -17,7 +17,7 @@
             *more,
         ]
 
-    def test_step_that_waited_for_nothing_has_no_lag(self):
+    def test_step_at_the_bound_has_no_lag(self):
         (lag,) = step_lags(
             self.lines(
                 on("e1", time=101.0, item="a", ms=1000),
@@ -37,7 +37,7 @@
                 line(104.4, "results_listed", job="j", own=True, listed=2),
             )
         )
-        # Of two items one is waited for; the first to end decides.
+        # 90% of two items rounds down to one, so the first to end is the deciding item.
         self.assertAlmostEqual(lag.waited, 0.5)
         (lag,) = step_lags(
             self.lines(
@@ -65,7 +65,7 @@
         (lag,) = step_lags(self.lines(*runs, items=3))
         self.assertAlmostEqual(lag.bound, 1.5)
 
-    def test_step_that_was_never_listed_and_no_steps(self):
+    def test_unlisted_step_and_no_steps(self):
         lags = step_lags(self.lines(on("e1", time=101.0, item="a", ms=1000)))
         self.assertIsNone(lags[0].took)
         self.assertIn("0 of 1 steps listed", format_lags(lags))
--- a/tests/lab/test_step_times.py
+++ b/tests/lab/test_step_times.py
@@ -1,4 +1,4 @@
-"""The table of steps from log lines."""
+"""Table of steps from log lines."""
 
 import unittest
 
@@ -39,11 +39,11 @@
             run(104.8, "other", 100) | {"job": "unknown"},
         ]
 
-    def test_way_of_a_step(self):
+    def test_stages_of_a_step(self):
         (step,) = collect_steps(self.lines)
         self.assertEqual((step.step, step.items, step.ended), (3, 2, 104.6))
-        self.assertEqual(step.listed_share(0.5), 102.5)
-        self.assertEqual(step.listed_share(1.0), 104.2)
+        self.assertEqual(step.time_of_listed_share(0.5), 102.5)
+        self.assertEqual(step.time_of_listed_share(1.0), 104.2)
         (last,) = step.last_items(1)
         self.assertEqual([one.outcome for one in last], ["moved", "complete"])
 
--- a/tests/lab/test_story.py
+++ b/tests/lab/test_story.py
@@ -1,11 +1,11 @@
-"""The story of an id, from log lines."""
+"""Timeline of an id from log lines."""
 
 import json
 import tempfile
 import unittest
 from pathlib import Path
 
-from runkeel_lab.story import format_story, read_lines, story_of
+from runkeel_lab.story import collect_story, format_story, read_lines
 
 LINES = [
     {"time": 1.0, "node": "e1", "code": "job_accepted", "message": "job accepted", "job": "j1"},
@@ -26,21 +26,21 @@
             path.write_text("\n".join(["no json", "{broken", *texts]))
             return read_lines([path])
 
-    def test_lines_are_read_in_order_of_time(self):
+    def test_lines_are_sorted_by_time(self):
         self.assertEqual(
             [line["time"] for line in self._read()], [1.0, 2.0, 2.1, 2.5, 3.0, 9.0, 9.5]
         )
 
-    def test_item_with_its_job_and_what_happened_meanwhile(self):
-        story = story_of(self._read(), "i1")
+    def test_item_with_its_job_and_concurrent_events(self):
+        story = collect_story(self._read(), "i1")
         self.assertEqual([line["time"] for line in story], [1.0, 2.0, 2.5, 3.0])
 
     def test_unknown_id(self):
-        self.assertEqual(story_of(self._read(), "none"), [])
+        self.assertEqual(collect_story(self._read(), "none"), [])
         self.assertIn("nothing is known", format_story([]))
 
-    def test_text(self):
-        text = format_story(story_of(self._read(), "j1"))
+    def test_format(self):
+        text = format_story(collect_story(self._read(), "j1"))
         self.assertEqual(len(text.splitlines()), 5)
         self.assertIn("job accepted", text.splitlines()[0])
 
