--- a/src/runkeel_lab/cli.py
+++ b/src/runkeel_lab/cli.py
@@ -1,6 +1,6 @@
 """The ``runkeel-lab`` command line.
 
-Exit codes: 0 all holds, 1 something does not hold, 2 wrong usage or files.
+Exit codes: 0 success, 1 a check failed or an id was not found, 2 wrong usage or files.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 def demo(*, out: Path = Path("out/demo")) -> int:
-    """Show a small deployment at work and check what clients and servers saw, in under a minute.
+    """Run a small deployment and check what clients and servers saw, in under a minute.
 
     Example: ``runkeel-lab demo``
 
-    :param out: folder for the nodes' log lines and the picture of the day.
+    :param out: folder for the nodes' log and the chart.
     """
     from runkeel_lab.demo import run_demo
 
@@ -34,14 +34,14 @@
 
 
 def up(*, edges: int = 2, disks: int = 2, engines: int = 2, applications: int = 2) -> int:
-    """Run a whole small deployment on loopback until it is interrupted; print its addresses.
+    """Run a small deployment on loopback until interrupted; print its addresses.
 
     Example: ``runkeel-lab up --engines 4``
 
-    :param edges: nodes that serve clients.
-    :param disks: nodes with a disk, which coordinate.
-    :param engines: servers of a model.
-    :param applications: plain servers.
+    :param edges: number of nodes that serve clients.
+    :param disks: number of nodes with a disk, which coordinate.
+    :param engines: number of model servers.
+    :param applications: number of application servers.
     """
     from runkeel_lab.users_platform.running import run_until_stopped
 
@@ -60,20 +60,20 @@
     edges: int = 3,
     record: Path | None = None,
 ) -> int:
-    """Disturb deployments on the stand-in of the users' platform and check what was acknowledged.
+    """Inject faults into deployments on the stand-in platform and check acknowledged work.
 
     Example: ``runkeel-lab soak --seed 100 --runs 20``
 
-    :param seed: seed of the first run; each further one takes the next seed.
-    :param runs: number of runs, one after another.
-    :param seconds: length of the disturbed part of each run in s.
-    :param operations: instead of single faults, series that overlap: stops, restarts, changes of
-        configuration, outages in which servers lapse; beside clients that keep their connections.
-    :param crashes: the same, and requests that crash servers, and servers that end by chance.
-    :param servers: the same, and servers that start again under their id, and entries of servers
-        that another writer wrote.
+    :param seed: seed of the first run; it increases by one with each run.
+    :param runs: number of consecutive runs.
+    :param seconds: time in seconds during which faults are injected in each run.
+    :param operations: inject overlapping stops, restarts, configuration changes and store outages
+        instead of single faults, with clients that keep their connections.
+    :param crashes: as operations, with requests that crash servers and random crashes.
+    :param servers: as crashes, with servers restarted under the same id and invalid server
+        entries by another writer.
     :param edges: number of nodes that serve clients; only with operations, crashes or servers.
-    :param record: file for a trace of the last run, which ``replay`` plays again.
+    :param record: file for a trace of the last run, for ``replay``.
     """
     from runkeel_lab.users_platform.crash_soak import CrashSoak
     from runkeel_lab.users_platform.operations_soak import OperationsSoak
@@ -91,11 +91,11 @@
 
 
 def replay(*traces: Path) -> int:
-    """Replay recorded traces and compare what comes of them with the outcomes that they state.
+    """Replay recorded traces and check the outcomes stated in them.
 
     Example: ``runkeel-lab replay traces/*.jsonl``
 
-    :param traces: JSON lines of what was done and the outcome each must have, see docs/lab.md.
+    :param traces: files of JSON lines with acts and their expected outcomes, see docs/lab.md.
     """
     from runkeel_lab.users_platform.replay import replay_files
 
@@ -103,14 +103,14 @@
 
 
 def decisions(*, engines: list[int] = [], waiting: int = 5_000) -> int:  # noqa: B006
-    """Measure what single decisions cost, in microseconds, at several sizes of the fleet.
+    """Measure the time of single decisions, in microseconds, at several fleet sizes.
 
-    The rows of the quarantine give the number of suspected requests in place of the engines.
+    In the rows of the quarantine, the engines column is the number of suspected requests.
 
     Example: ``runkeel-lab decisions --engines 40 --engines 4200``
 
-    :param engines: numbers of engines and of servers; 40, 400 and 4,200 when none is given.
-    :param waiting: items that wait for an engine.
+    :param engines: numbers of engines; defaults to 40, 400 and 4,200.
+    :param waiting: number of items that wait for an engine.
     """
     from runkeel_lab.decisions import (
         DEFAULT_ENGINE_COUNTS,
@@ -125,7 +125,7 @@
 
 
 def story(wanted: str, *logs: Path) -> int:
-    """Print what the nodes' logs tell of a request, an item or a batch job.
+    """Print the timeline of a request, an item or a batch job from the nodes' logs.
 
     Example: ``runkeel-lab story 7c41e09b52d6a3f8 logs/*.log``
 
@@ -140,12 +140,12 @@
 
 
 def steps(*logs: Path, last_items: int = 3) -> int:
-    """Print where the time of each training step went, from the nodes' logs.
+    """Print a breakdown of the time of each training step, from the nodes' logs.
 
     Example: ``runkeel-lab steps logs/*.log``
 
     :param logs: files with the nodes' log lines, in any order.
-    :param last_items: items of each step that are shown run by run, those that ended last.
+    :param last_items: number of items per step to show run by run, those that ended last.
     """
     from runkeel_lab.step_times import format_steps
     from runkeel_lab.story import read_lines
@@ -155,7 +155,7 @@
 
 
 def bound(*logs: Path) -> int:
-    """Print how far each training step was from the earliest end that its engines allowed.
+    """Print the lag of each training step behind the lower bound of its duration.
 
     Example: ``runkeel-lab bound logs/*.log``
 
@@ -169,12 +169,12 @@
 
 
 def worth(*entries: Path, picture: Path | None = None) -> int:
-    """Compare the worth of the days of the users' bench by its journal entries.
+    """Compare the worth of the days in journal entries of the users' benchmark.
 
     Example: ``runkeel-lab worth journal/*-29040c96.json --picture out/worth.png``
 
-    :param entries: journal entries; a row each.
-    :param picture: PNG file to draw the days' worth in.
+    :param entries: journal entries, one table row each.
+    :param picture: PNG file for a chart of the worth of each day.
     """
     from runkeel_lab.users_platform.bench_journal import (
         format_entries,
