--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -147,7 +147,7 @@
         ]
         self.crashes = CrashPlan(self._replace_crashed)
         for server in [*self.engines, *self.applications]:
-            server.plan = self.crashes
+            server.crash_plan = self.crashes
         self._order_pause_seconds = order_pause_seconds
         self._metrics = _LOOPBACK if metrics else None
         self._machines: dict[str, _Machine] = {}
@@ -345,7 +345,7 @@
             loss_tolerance=self._loss_tolerance,
         )
         listener = _LOOPBACK if serves_clients else None
-        store = StoreServer(len(self._machines), behind=self.store)
+        store = StoreServer(len(self._machines), parent=self.store)
         store.start()
         settings = ProcessSettings(
             fleet,
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -82,7 +82,7 @@
         self.draining = False
         self.running = 0
         self.ended = False
-        self.plan: CrashPlan | None = None
+        self.crash_plan: CrashPlan | None = None
         self.born_ms = 0
         self.heir: PlatformServer | None = None
         """The next incarnation under this id."""
@@ -145,7 +145,7 @@
         if keeps_id:
             self.heir = replacement
             replacement.born_ms = self.born_ms
-        replacement.plan, replacement.faults = self.plan, self.faults
+        replacement.crash_plan, replacement.faults = self.crash_plan, self.faults
         replacement.work_seconds, replacement.slots = self.work_seconds, self.slots
         replacement._server = replacement._listener(self.address.port)
         return replacement
@@ -200,19 +200,19 @@
         if self.faults.refused or self.running >= 4 * self.slots:
             start_response("503 Service Unavailable", [("Not-Executed", "1")])
             return [b""]
-        if self.plan is not None and self.plan.crashes(environment["PATH_INFO"]):
+        if self.crash_plan is not None and self.crash_plan.crashes(environment["PATH_INFO"]):
             self._crash_while_running(environment)
         return self._run(environment, start_response)
 
     def _crash_while_running(self, environment: Environment) -> None:
         """Start to run a request, and crash while it is in flight."""
         environment["wsgi.input"].read()
-        self.plan.record_reached(environment["PATH_INFO"], self.server_id)
+        self.crash_plan.record_reached(environment["PATH_INFO"], self.server_id)
         self._record_run(environment)
-        gevent.sleep(self.plan.seconds)
+        gevent.sleep(self.crash_plan.seconds)
         if not self.ended:
             self.crash()
-            self.plan.record_crash(environment["PATH_INFO"], self)
+            self.crash_plan.record_crash(environment["PATH_INFO"], self)
         raise ResponseAbortedError
 
     def _handle_control(
--- a/src/runkeel_lab/users_platform/store_server.py
+++ b/src/runkeel_lab/users_platform/store_server.py
@@ -37,18 +37,18 @@
 
     Args:
         behind: server whose store this one serves at a further address with faults of its own;
-            the faults of ``behind`` apply too.
+            the faults of ``parent`` apply too.
     """
 
-    def __init__(self, seed: int, behind: StoreServer | None = None) -> None:
-        self._behind = behind
-        self.objects = behind.objects if behind else MemoryDocumentStore()
+    def __init__(self, seed: int, parent: StoreServer | None = None) -> None:
+        self._parent = parent
+        self.objects = parent.objects if parent else MemoryDocumentStore()
         self.lost_share = 0.0
         self.refused = False
         self.silent = False
         self.slow_seconds = 0.0
         self.calls = 0
-        self._muted_at: dict[str, float] = behind._muted_at if behind else {}
+        self._muted_at: dict[str, float] = parent._muted_at if parent else {}
         self._random = random.Random(seed)
         self._server = WSGIServer(
             ("127.0.0.1", 0), self._handle_request, log=None, handler_class=Handler
@@ -75,7 +75,7 @@
         method = environment["REQUEST_METHOD"]
         body = environment["wsgi.input"].read()
         self.calls += 1
-        endpoints = (self, self._behind) if self._behind else (self,)
+        endpoints = (self, self._parent) if self._parent else (self,)
         gevent.sleep(sum(endpoint.slow_seconds for endpoint in endpoints))
         status, payload = 503, None
         if not any(endpoint.silent or endpoint.refused for endpoint in endpoints):
