--- a/src/runkeel_lab/users_platform/bench_journal.py
+++ b/src/runkeel_lab/users_platform/bench_journal.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BenchDay:
-    """Result of one simulated day: score, share of it lost to prices, number of broken rules."""
+    """One day of an entry: its worth, the share of credit lost to prices, and broken rules."""
 
     name: str
     slot: str
--- a/src/runkeel_lab/users_platform/operations_soak.py
+++ b/src/runkeel_lab/users_platform/operations_soak.py
@@ -56,7 +56,7 @@
 CUT_GRACE_SECONDS = 0.2
 """A request sent less than this before its connection ended may have crossed the close."""
 
-ADDED_ROUTES = 4
+MAX_ADDED_ROUTES = 4
 _REQUEST_INTERVAL_SECONDS = 0.08
 _SAMPLE_INTERVAL_SECONDS = 0.05
 _RESPONSE_TIMEOUT_SECONDS = 3.0
@@ -207,7 +207,7 @@
         for _ in range(rng.randint(1, 3)):
             self._version += rng.randint(1, 3)
             self._added.append(f"/added{self._version}/")
-            if len(self._added) > ADDED_ROUTES:
+            if len(self._added) > MAX_ADDED_ROUTES:
                 self._dropped.append(self._added.popleft())
             more = tuple(route(one, one, "idempotent", APPLICATION) for one in self._added)
             self._deployment.configure(configuration(self._version, more))
@@ -283,7 +283,7 @@
         for edge in self._deployment.edge_names:
             for prefix in (COUNT_PREFIX, *self._added):
                 self._check_status(edge, prefix, 200)
-            for prefix in self._dropped[-ADDED_ROUTES:]:
+            for prefix in self._dropped[-MAX_ADDED_ROUTES:]:
                 self._check_status(edge, prefix, 404)
 
     def _check_status(self, edge: str, prefix: str, wanted: int) -> None:
--- a/src/runkeel_lab/users_platform/store_server.py
+++ b/src/runkeel_lab/users_platform/store_server.py
@@ -48,7 +48,7 @@
         self.silent = False
         self.slow_seconds = 0.0
         self.calls = 0
-        self._muted_at: dict[str, float] = parent._muted_at if parent else {}
+        self._hung_at: dict[str, float] = parent._hung_at if parent else {}
         self._random = random.Random(seed)
         self._server = WSGIServer(
             ("127.0.0.1", 0), self._handle_request, log=None, handler_class=Handler
@@ -60,7 +60,7 @@
 
     def mute_watches(self, kind: str) -> None:
         """Never respond to the watches that wait now; their connections stay open."""
-        self._muted_at[kind] = steady_seconds()
+        self._hung_at[kind] = steady_seconds()
 
     def start(self) -> None:
         self._server.start()
@@ -115,7 +115,7 @@
             wait = float(query.get("WaitMs", 0)) / 1000.0
             started = steady_seconds()
             changes = self.objects.watch(kind, int(query["watch"]), wait)
-            if started < self._muted_at.get(kind, 0.0):
+            if started < self._hung_at.get(kind, 0.0):
                 gevent.sleep(_HANG_SECONDS)
             events = [
                 {"object": _object(change.document), "gone": change.removed}
