--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -93,13 +93,13 @@
     request = PlainRequest("r", "POST", "/count/x", "host", (), _BODY, tenant="tenant")
 
     def check_quarantine() -> None:
-        identify = partial(quarantine.fingerprints.of_plain, request)
-        _ = quarantine.watch(identify, _SERVICE, request.request_id).held
+        identify = partial(quarantine.fingerprinter.of_plain, request)
+        _ = quarantine.watch(identify, _SERVICE, request.request_id).quarantined
 
     costs = []
     for records in (0, 1, MAX_RECORDS):
         for number in range(records):
-            quarantine.ledger.note_ended(f"{number:032x}", _SERVICE, "server")
+            quarantine.ledger.record_crash(f"{number:032x}", _SERVICE, "server")
         costs.append(_measure_cost("look at the quarantine", records, 0, check_quarantine))
     return costs
 
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -278,7 +278,7 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
         seconds: float = _CALL_TIMEOUT_SECONDS,
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         """Send a client's request to an edge node; return None if there was no response."""
         process = self._machines[edge].process
         if process is None:
--- a/tests/users_platform/test_crash_soak.py
+++ b/tests/users_platform/test_crash_soak.py
@@ -24,7 +24,7 @@
         self.assertEqual(CrashSoak(7000, SECONDS).run().violations, [])
 
     def test_missing_quarantine_is_detected(self):
-        with mock.patch.object(crash_record, "ENDS_UNTIL_HELD", NEVER):
+        with mock.patch.object(crash_record, "QUARANTINE_THRESHOLD", NEVER):
             report = CrashSoak(2, SECONDS).run()
         self.assertTrue([text for text in report.violations if "reached late" in text])
 
--- a/tests/users_platform/test_servers_soak.py
+++ b/tests/users_platform/test_servers_soak.py
@@ -27,14 +27,14 @@
         self.assertGreater(report.answered, 100)
 
     def test_directory_that_ignores_new_incarnations_is_detected(self):
-        settle = ServerStarts.settle
+        resolve = IncarnationTracker.resolve
 
-        def settle_ignoring_new_incarnations(starts, backend, revision):
+        def resolve_ignoring_new_incarnations(starts, backend, revision):
             known = starts._known.get(backend.backend_id)
             is_new_incarnation = known is not None and known.start != backend.start
-            return None if is_new_incarnation else settle(starts, backend, revision)
+            return None if is_new_incarnation else resolve(starts, backend, revision)
 
-        with mock.patch.object(ServerStarts, "settle", settle_ignoring_new_incarnations):
+        with mock.patch.object(IncarnationTracker, "resolve", resolve_ignoring_new_incarnations):
             report = ServersSoak(3, SECONDS).run()
         self.assertTrue([text for text in report.violations if "does not use" in text])
 
