--- a/src/runkeel/coordination/version_rollout.py
+++ b/src/runkeel/coordination/version_rollout.py
@@ -266,7 +266,7 @@
                 self._before_load(state.incarnation)
                 outcome = self._order(state, model, version, report.sequence)
                 if outcome is EngineOrderOutcome.WRONG_SERVER:
-                    state.failed()
+                    state.record_call_failure()
                 if outcome not in (EngineOrderOutcome.ACCEPTED, EngineOrderOutcome.IN_FORCE, None):
                     return
                 reached = self._await_version(state, model, version, outcome)
--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -32,13 +32,16 @@
 """Upper bound of the ejection time, so that a recovered server is found again."""
 
 MAX_COUNTED_FAILURES = 100
-"""Consecutive failures are counted up to this number."""
+"""Consecutive failures are counted up to this number.
+
+Far fewer reach MAX_EJECTION_SECONDS, and the ejection time computed from many more would overflow.
+"""
 
 ENDED_RETRY_SECONDS = 10.0
 """An ended server whose entry still exists is tried again after this time.
 
-The entry of a server that is gone is removed earlier than that. One that remains belongs to a
-server that restarted without reporting it, or the document store is unavailable.
+Exceeds the time after which an entry without heartbeats expires in the document store. An entry
+that remains belongs to a server that restarted without reporting it, or the store is unavailable.
 """
 
 REFUSAL_BACKOFF_SECONDS = 0.05
@@ -72,6 +75,7 @@
         self.answered_at = 0.0
         self.average_response_seconds = 0.0
         self.replaced = False
+        # So that `ended` is false at first; the steady clock is never negative.
         self._ended_at = -ENDED_RETRY_SECONDS
 
     @property
@@ -92,8 +96,8 @@
         """Record that nothing listens at its address any more."""
         self._ended_at = steady_seconds()
 
-    def succeeded(self) -> None:
-        """Record a successful request; clears failures."""
+    def record_call_success(self) -> None:
+        """Record a successful request; clears failures and the mark that the server has ended."""
         self.answered_at = steady_seconds()
         self._ended_at = -ENDED_RETRY_SECONDS
         self.failures = 0
@@ -104,11 +108,11 @@
         before = self.average_response_seconds or seconds
         self.average_response_seconds = before + RESPONSE_TIME_WEIGHT * (seconds - before)
 
-    def refused(self) -> None:
+    def record_call_refusal(self) -> None:
         """Record that the server was full."""
         self.avoid_until = max(self.avoid_until, steady_seconds() + REFUSAL_BACKOFF_SECONDS)
 
-    def failed(self) -> None:
+    def record_call_failure(self) -> None:
         """Record a lost connection or response; ejects the server, longer each time in a row."""
         # Bounded, as the power would overflow a float from 1,025 failures on.
         self.failures = min(MAX_COUNTED_FAILURES, self.failures + 1)
@@ -207,12 +211,12 @@
             state = self._states[backend.backend_id] = BackendState(backend)
         else:
             if state.backend.service != backend.service:
-                self._leave(state)
+                self._remove_from_service(state)
             state.backend = backend
         if backend.takes_work:
-            self._join(state)
+            self._add_to_service(state)
         else:
-            self._leave(state)
+            self._remove_from_service(state)
         self._notify(backend.service)
 
     def _retire(self, state: BackendState, successor: Backend) -> None:
@@ -228,7 +232,7 @@
             failures=state.failures,
         )
         del self._states[state.backend_id]
-        self._leave(state)
+        self._remove_from_service(state)
         state.replaced = True
         for listener in self._end_listeners:
             listener(state)
@@ -241,7 +245,7 @@
         state = self._states.pop(backend_id, None)
         if state is None:
             return
-        self._leave(state)
+        self._remove_from_service(state)
         state.pool.close()
         self._change_log.record_departure(state.backend)
         for listener in self._end_listeners:
@@ -255,10 +259,12 @@
     def find(self, incarnation: str) -> BackendState | None:
         """Return the state of an incarnation named by another node, None if it isn't current.
 
-        Nodes may name an inferred incarnation differently, or miss it. Such a name therefore
-        matches the current incarnation if that one is inferred as well.
+        If a server doesn't report its start, each node infers restarts from its entries. Nodes may
+        then name the same incarnation differently, or miss a restart. A name without a reported
+        start therefore matches the current incarnation if that one has no reported start either.
         """
         backend_id, _, start = incarnation.partition("@")
+        # The name is a bare server id if no start is known; an id may contain "@".
         state = self._states.get(incarnation) or self._states.get(backend_id)
         if state is None or state.incarnation == incarnation:
             return state
@@ -302,12 +308,12 @@
         self._preferred[service] = kept
         return kept
 
-    def _join(self, state: BackendState) -> None:
+    def _add_to_service(self, state: BackendState) -> None:
         members = self._services.setdefault(state.backend.service, IndexedSet())
         if members.add(state.incarnation, state):
             self.membership_changes += 1
 
-    def _leave(self, state: BackendState) -> None:
+    def _remove_from_service(self, state: BackendState) -> None:
         members = self._services.get(state.backend.service)
         if members is not None and members.discard(state.incarnation):
             self.membership_changes += 1
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -307,11 +307,11 @@
 def _record_outcome(state: BackendState, outcome: _Outcome) -> None:
     """Record the outcome of an attempt in the state of its server."""
     if outcome.response_class is ResponseClass.SUCCESS:
-        state.succeeded()
+        state.record_call_success()
     elif outcome.response_class is ResponseClass.REFUSED:
-        state.refused()
+        state.record_call_refusal()
     elif outcome.error is not None or outcome.response_class is ResponseClass.MISDIRECTED:
-        state.failed()
+        state.record_call_failure()
 
 
 def _release_slot(state: BackendState) -> None:
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -128,7 +128,7 @@
                 outcome = self._open_at(relay, state)
             except RunkeelError as raised:
                 ATTEMPTS.labels(relay.service, str(raised.code)).inc()
-                state.failed()
+                state.record_call_failure()
                 relay.watched.record_failure(state, raised)
                 if raised.verdict is Verdict.NOT_RUN:
                     continue
@@ -191,7 +191,7 @@
             stream.close()
             state.in_flight -= 1
         if response_class in (ResponseClass.REFUSED, ResponseClass.MISDIRECTED):
-            state.refused()
+            state.record_call_refusal()
             if response_class is ResponseClass.MISDIRECTED:
                 self._quarantine.crash_detector.address_taken(state)
             return OpenedStream(0, [], b"")
@@ -206,7 +206,7 @@
             while True:
                 error = yield from self._relay_attempt(relay)
                 if error is None:
-                    relay.state.succeeded()
+                    relay.state.record_call_success()
                     relay.watched.record_success()
                     return
                 self._resume(relay, error)
@@ -262,7 +262,7 @@
             error=error.detail,
             resumable=relay.route.resumable,
         )
-        relay.state.failed()
+        relay.state.record_call_failure()
         relay.watched.record_failure(relay.state, error)
         self._close_stream(relay)
         if not relay.route.resumable or relay.gone.is_set():
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -254,9 +254,9 @@
     if outcome is RunOutcome.COMPLETE:
         engine.failures = 0
     elif outcome in (RunOutcome.BROKEN, RunOutcome.UNREACHABLE):
-        engine.failed()
+        engine.record_call_failure()
     elif outcome is RunOutcome.REFUSED:
-        engine.refused()
+        engine.record_call_refusal()
 
 
 def _remaining_seconds(task: ItemTask, route: Route) -> float:
--- a/tests/gateway/starts_machine.py
+++ b/tests/gateway/starts_machine.py
@@ -59,7 +59,7 @@
     def failure(self):
         state = self.directory.get(NAME)
         if state is not None:
-            state.failed()
+            state.record_call_failure()
             self.failures += 1
 
     @rule()
--- a/tests/gateway/test_backends.py
+++ b/tests/gateway/test_backends.py
@@ -42,7 +42,7 @@
         self.directory.put(make_backend("a"))
         state = self.directory.get("a")
         for _ in range(5_000):
-            state.failed()
+            state.record_call_failure()
         now = steady_seconds()
         self.assertTrue(state.avoided(now + MAX_EJECTION_SECONDS - 0.1))
         self.assertFalse(state.avoided(now + MAX_EJECTION_SECONDS + 0.1))
@@ -81,7 +81,7 @@
         names = self._names()
         self.assertGreater(len(set(self._names(tried=set(names))) - set(names)), 0)
         for name in names:
-            self.directory.get(name).failed()
+            self.directory.get(name).record_call_failure()
         state = choose_backend(self.directory.candidates(SERVICE), set(), "here")
         self.assertFalse(state.avoided(steady_seconds()))
 
@@ -106,7 +106,7 @@
         self.assertEqual(self._choose(), "far")
 
     def test_failed_server_is_chosen_last(self):
-        self.directory.get("near").failed()
+        self.directory.get("near").record_call_failure()
         self.assertEqual(self._choose(), "far")
 
 
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -126,7 +126,7 @@
     def test_failed_server_is_chosen_last(self):
         directory = directory_of(a=ScriptedPool(lost(), 200), b=ScriptedPool(200, 200, 200))
         forwarder = Forwarder(directory, StatusProtocol(), "here", self.meter, open_quarantine())
-        directory.get("a").failed()
+        directory.get("a").record_call_failure()
         for _ in range(3):
             forwarder.forward(REQUEST, make_route(), SERVICE, steady_seconds() + 2.0)
         self.assertEqual(directory.get("a").pool.requests, 0)
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -210,7 +210,7 @@
     def test_server_that_responded_since_has_not_crashed(self):
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
         state = self.directory.get("a")
-        state.succeeded()
+        state.record_call_success()
         self.quarantine.crash_detector.backend_gone(state)
         self.assertEqual(len(self.ledger), 0)
 
--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_return_time.py
@@ -44,13 +44,13 @@
     def test_full_servers_have_a_free_slot_after_about_one_request(self):
         for state, seconds in zip(self.servers, (0.4, 0.25), strict=True):
             state.record_response_time(seconds)
-            state.refused()
+            state.record_call_refusal()
         for wait in self.estimates():
             self.assertTrue(0.25 <= wait <= 0.25 * (1 + JITTER_FRACTION), wait)
 
     def test_failed_servers_are_retried_after_their_ejection(self):
         for state in self.servers:
-            state.failed()
+            state.record_call_failure()
         for wait in self.estimates():
             self.assertGreater(wait, 0.9 * BASE_EJECTION_SECONDS)
             self.assertLessEqual(wait, BASE_EJECTION_SECONDS * (1 + JITTER_FRACTION))
@@ -66,7 +66,7 @@
         self.assertGreaterEqual(min(self.estimates()), MIN_RETRY_SECONDS)
         for state in self.servers:
             for _ in range(20):
-                state.failed()
+                state.record_call_failure()
         self.assertLessEqual(max(self.estimates()), MAX_RETRY_SECONDS)
 
     def test_retries_are_spread(self):
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -44,7 +44,7 @@
         old_state = self.state()
         old_state.mark_ended()
         for _ in range(50):
-            old_state.failed()
+            old_state.record_call_failure()
         self.put(started("2000"))
         self.assertFalse(self.state().avoided(steady_seconds()))
         self.assertEqual((self.state().failures, self.state().in_flight), (0, 0))
@@ -75,7 +75,7 @@
     def test_update_of_the_same_start_keeps_the_state(self):
         self.put(started("1000", orders=1))
         old_state = self.state()
-        old_state.failed()
+        old_state.record_call_failure()
         self.put(started("1000", orders=5, model_versions={"m": 2}))
         self.assertIs(self.state(), old_state)
         self.assertEqual((old_state.failures, old_state.backend.model_versions), (1, {"m": 2}))
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -41,7 +41,7 @@
         """Open a stream; the servers in ``last`` are chosen after all others."""
         self.directory = directory_of(**pools)
         for name in last:
-            self.directory.get(name).failed()
+            self.directory.get(name).record_call_failure()
         forwarder = StreamForwarder(
             self.directory, self.protocol, "here", self.meter, open_quarantine()
         )
--- a/tests/jobs/test_engine_placement.py
+++ b/tests/jobs/test_engine_placement.py
@@ -56,7 +56,7 @@
         self.assertEqual(self._choose(), "old")
 
     def test_engine_that_failed_is_avoided_for_a_while(self):
-        self._engine("a").failed()
+        self._engine("a").record_call_failure()
         self.assertIsNone(self._choose())
 
     def test_items_of_a_group_share_an_engine(self):
