--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -46,16 +46,16 @@
         return self.response_class.value if self.response_class else str(self.error.code)
 
     @property
-    def ran(self) -> bool:
-        """Whether a server may have run the request."""
+    def possibly_ran(self) -> bool:
+        """Whether a server ran the request or may have run it."""
         if self.error is not None:
             return self.error.verdict is not Verdict.NOT_RUN
         return self.response_class in (ResponseClass.SUCCESS, ResponseClass.FAILURE)
 
 
 @dataclass(slots=True)
-class _Progress:
-    """State of one request and its attempts."""
+class _ForwardedRequest:
+    """A request that is being forwarded, and the state of its attempts."""
 
     request: PlainRequest
     watched: WatchedRequest
@@ -68,11 +68,15 @@
     tried: set[str] = field(default_factory=set)
     running: int = 0
     completed: bool = False
-    sent: int = 0
-    """Attempts that may have run, including those in flight."""
+    possibly_run_attempts: int = 0
+    """Attempts that a server may have run, including those in flight.
+
+    An attempt is counted when it starts, and no longer once it is known not to have run.
+    """
     failure: _Outcome | None = None
+    """Failure to return if no attempt succeeds; a server's response is preferred to an error."""
     first_attempt_at: float = 0.0
-    """Start of the first attempt counted in ``sent``, in seconds since the epoch."""
+    """Start of the first of these attempts, in seconds since the Unix epoch."""
 
 
 class Forwarder:
@@ -81,7 +85,8 @@
     Args:
         zone: zone of this node; servers of the same zone are preferred.
         meter: counts the requests that servers started to run.
-        quarantine: holds back requests that crash servers.
+        quarantine: quarantines requests that crash servers. A quarantined request is sent only on
+            a trial: a single send that the coordinator grants.
     """
 
     def __init__(
@@ -104,13 +109,14 @@
         route: Route,
         service: str,
         deadline: float,
-        gone: Event | None = None,
+        disconnected: Event | None = None,
     ) -> HttpResponse:
         """Return the response of a server of the service.
 
         Args:
             deadline: steady clock time, in seconds, by which the response is due.
-            gone: set when the client has disconnected; attempts in flight are then cancelled.
+            disconnected: set when the client has disconnected; attempts in flight are then
+                cancelled.
 
         Raises:
             RunkeelError: with verdict NOT_RUN only if no server ran the request.
@@ -118,151 +124,161 @@
         watched = self._quarantine.watch(
             lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
         )
-        progress = _Progress(request, watched, route, service, deadline, steady_seconds())
+        forwarded = _ForwardedRequest(request, watched, route, service, deadline, steady_seconds())
         disconnect_watcher = (
-            gevent.spawn(_report_disconnect, gone, progress.results) if gone is not None else None
+            gevent.spawn(_report_disconnect, disconnected, forwarded.results)
+            if disconnected is not None
+            else None
         )
         usage_entry = self._meter.start_request(request.tenant)
         try:
-            return self._run_attempts(progress)
+            return self._run_attempts(forwarded)
         finally:
-            if not progress.sent:
+            if not forwarded.possibly_run_attempts:
                 watched.return_trial()
-            first_attempt_at = progress.first_attempt_at if progress.sent else None
+            first_attempt_at = (
+                forwarded.first_attempt_at if forwarded.possibly_run_attempts else None
+            )
             self._meter.finish_request(usage_entry, request.tenant, first_attempt_at)
             if disconnect_watcher is not None:
                 disconnect_watcher.kill(block=False)
-            gevent.killall(progress.tasks, block=False)
+            gevent.killall(forwarded.tasks, block=False)
 
-    def _run_attempts(self, progress: _Progress) -> HttpResponse:
-        self._start_attempt(progress)
-        while progress.running:
+    def _run_attempts(self, forwarded: _ForwardedRequest) -> HttpResponse:
+        self._start_attempt(forwarded)
+        while forwarded.running:
             try:
-                outcome = progress.results.get(timeout=self._wait_seconds(progress))
+                outcome = forwarded.results.get(timeout=self._wait_seconds(forwarded))
             except Empty:
-                if steady_seconds() >= progress.deadline:
-                    raise self._abandoned_error(progress, ErrorCode.DEADLINE_EXCEEDED) from None
-                self._start_attempt(progress, "hedge")
+                if steady_seconds() >= forwarded.deadline:
+                    raise self._abandoned_error(forwarded, ErrorCode.DEADLINE_EXCEEDED) from None
+                self._start_attempt(forwarded, "hedge")
                 continue
             if outcome is _CLIENT_DISCONNECTED:
-                raise self._abandoned_error(progress, ErrorCode.CANCELLED)
-            response = self._handle_outcome(progress, outcome)
+                raise self._abandoned_error(forwarded, ErrorCode.CANCELLED)
+            response = self._handle_outcome(forwarded, outcome)
             if response is not None:
-                progress.completed = True
+                forwarded.completed = True
                 return response
-            if not progress.running or not progress.route.repeatable:
-                self._start_attempt(progress, "retry")
-        return self._finish(progress)
-
-    def _handle_outcome(self, progress: _Progress, outcome: _Outcome) -> HttpResponse | None:
-        progress.running -= 1
-        ATTEMPTS.labels(progress.service, outcome.label).inc()
+            if not forwarded.running or not forwarded.route.repeatable:
+                self._start_attempt(forwarded, "retry")
+        return self._finish(forwarded)
+
+    def _handle_outcome(
+        self, forwarded: _ForwardedRequest, outcome: _Outcome
+    ) -> HttpResponse | None:
+        forwarded.running -= 1
+        ATTEMPTS.labels(forwarded.service, outcome.label).inc()
         if outcome.response_class is ResponseClass.SUCCESS:
             return outcome.response
-        if not outcome.ran:
-            progress.sent -= 1
+        if not outcome.possibly_ran:
+            forwarded.possibly_run_attempts -= 1
         else:
-            if outcome.response is not None or progress.failure is None:
-                progress.failure = outcome
-            if not progress.route.repeatable:
-                return self._finish(progress)
-        self._log_attempt(progress, outcome)
+            if outcome.response is not None or forwarded.failure is None:
+                forwarded.failure = outcome
+            if not forwarded.route.repeatable:
+                return self._finish(forwarded)
+        self._log_attempt(forwarded, outcome)
         return None
 
-    def _finish(self, progress: _Progress) -> HttpResponse:
-        failure = progress.failure
+    def _finish(self, forwarded: _ForwardedRequest) -> HttpResponse:
+        failure = forwarded.failure
         if failure is None:
-            code = ErrorCode.QUEUE_FULL if progress.tried else ErrorCode.NO_BACKEND
-            raise not_run(code, progress.service, self._retry_after_seconds(progress))
+            code = ErrorCode.QUEUE_FULL if forwarded.tried else ErrorCode.NO_BACKEND
+            raise not_run(code, forwarded.service, self._retry_after_seconds(forwarded))
         if failure.response is not None:
             return failure.response
         raise failure.error
 
-    def _wait_seconds(self, progress: _Progress) -> float:
+    def _wait_seconds(self, forwarded: _ForwardedRequest) -> float:
         now = steady_seconds()
-        remaining = max(0.0, progress.deadline - now)
-        if not self._may_hedge(progress):
+        remaining = max(0.0, forwarded.deadline - now)
+        if not self._may_hedge(forwarded):
             return remaining
         hedge_after = (
-            progress.route.target_latency_seconds * HEDGE_LATENCY_FRACTION * len(progress.tried)
+            forwarded.route.target_latency_seconds * HEDGE_LATENCY_FRACTION * len(forwarded.tried)
         )
-        return min(remaining, max(0.0, progress.started + hedge_after - now))
+        return min(remaining, max(0.0, forwarded.started + hedge_after - now))
 
-    def _may_hedge(self, progress: _Progress) -> bool:
-        if not progress.route.repeatable or progress.sent >= progress.route.maximum_attempts:
+    def _may_hedge(self, forwarded: _ForwardedRequest) -> bool:
+        if (
+            not forwarded.route.repeatable
+            or forwarded.possibly_run_attempts >= forwarded.route.maximum_attempts
+        ):
             return False
-        if progress.watched.suspected:
-            # A request that crashes servers would take down the second one as well.
+        if forwarded.watched.suspected:
+            # The request may crash the second server as well.
             return False
-        if progress.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
+        if forwarded.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
             return False
-        candidates = self._directory.candidates(progress.service, progress.tried)
-        return any(state.incarnation not in progress.tried for state in candidates)
+        candidates = self._directory.candidates(forwarded.service, forwarded.tried)
+        return any(state.incarnation not in forwarded.tried for state in candidates)
 
-    def _start_attempt(self, progress: _Progress, reason: str = "first") -> None:
-        if progress.sent >= progress.route.maximum_attempts:
+    def _start_attempt(self, forwarded: _ForwardedRequest, reason: str = "first") -> None:
+        if forwarded.possibly_run_attempts >= forwarded.route.maximum_attempts:
             return
-        if progress.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
+        if forwarded.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
             return
-        candidates = self._directory.candidates(progress.service, progress.tried)
-        if progress.watched.quarantined:
-            # Trials are limited; don't use one on a server that has ended.
+        candidates = self._directory.candidates(forwarded.service, forwarded.tried)
+        if forwarded.watched.quarantined:
+            # The number of trials is limited, so none is used on a server that has ended.
             candidates = [one for one in candidates if not one.ended]
-        state = choose_backend(candidates, progress.tried, self._zone)
-        if state is None or not self._may_attempt(progress):
+        state = choose_backend(candidates, forwarded.tried, self._zone)
+        if state is None or not self._may_attempt(forwarded):
             return
-        progress.tried.add(state.incarnation)
-        progress.running += 1
-        if not progress.sent:
-            progress.first_attempt_at = self._meter.now()
-        progress.sent += 1
+        forwarded.tried.add(state.incarnation)
+        forwarded.running += 1
+        if not forwarded.possibly_run_attempts:
+            forwarded.first_attempt_at = self._meter.now()
+        forwarded.possibly_run_attempts += 1
         # Counted before the task starts. Otherwise, simultaneous requests would all see idle
         # servers and all choose those of this zone.
         state.in_flight += 1
-        task = gevent.spawn(self._attempt, progress, state)
-        task.rawlink(lambda ended: _release_slot(state))
-        progress.tasks.append(task)
+        task = gevent.spawn(self._attempt, forwarded, state)
+        task.rawlink(lambda finished_task: _release_slot(state))
+        forwarded.tasks.append(task)
         if reason != "first":
             logger.info(
                 "starting another attempt",
                 code="attempt",
-                request=progress.request.request_id,
+                request=forwarded.request.request_id,
                 reason=reason,
                 backend=state.incarnation,
-                attempts=len(progress.tried),
-                age_ms=int((steady_seconds() - progress.started) * 1000),
+                attempts=len(forwarded.tried),
+                age_ms=int((steady_seconds() - forwarded.started) * 1000),
             )
 
-    def _may_attempt(self, progress: _Progress) -> bool:
+    def _may_attempt(self, forwarded: _ForwardedRequest) -> bool:
         """Return whether the quarantine allows another attempt; may ask the coordinator.
 
         Raises:
-            RunkeelError: REQUEST_QUARANTINED if the request is held and gets no trial.
+            RunkeelError: REQUEST_QUARANTINED if the request is quarantined and gets no trial.
         """
-        if not progress.watched.quarantined:
+        if not forwarded.watched.quarantined:
             return True
-        if progress.sent:
+        if forwarded.possibly_run_attempts:
+            # A trial allows one attempt, and a request quarantined meanwhile gets no further one.
             return False
-        progress.watched.admit()
-        return progress.deadline - steady_seconds() >= MIN_ATTEMPT_SECONDS
+        forwarded.watched.admit()
+        return forwarded.deadline - steady_seconds() >= MIN_ATTEMPT_SECONDS
 
-    def _attempt(self, progress: _Progress, state: BackendState) -> None:
+    def _attempt(self, forwarded: _ForwardedRequest, state: BackendState) -> None:
         started = steady_seconds()
         try:
-            outcome = self._exchange(progress, state)
+            outcome = self._exchange(forwarded, state)
         except gevent.GreenletExit:
-            if not progress.completed:
+            if not forwarded.completed:
                 # The request may still crash its server after the attempt was cancelled.
-                progress.watched.record_failure(state, may_have_run(ErrorCode.CANCELLED))
+                forwarded.watched.record_failure(state, may_have_run(ErrorCode.CANCELLED))
             raise
         _record_outcome(state, outcome)
         if outcome.response_class is ResponseClass.SUCCESS:
             state.record_response_time(steady_seconds() - started)
-        progress.results.put(outcome)
+        forwarded.results.put(outcome)
 
-    def _exchange(self, progress: _Progress, state: BackendState) -> _Outcome:
-        request = progress.request
-        remaining = progress.deadline - steady_seconds()
+    def _exchange(self, forwarded: _ForwardedRequest, state: BackendState) -> _Outcome:
+        request = forwarded.request
+        remaining = forwarded.deadline - steady_seconds()
         response_classes: list[ResponseClass] = []
 
         def accept(status: int, headers: list[tuple[str, str]]) -> bool:
@@ -271,36 +287,38 @@
 
         try:
             outgoing = self._protocol.encode_plain(request, state.backend, remaining)
-            response = state.pool.request(outgoing, progress.deadline, accept=accept)
+            response = state.pool.request(outgoing, forwarded.deadline, accept=accept)
         except RunkeelError as error:
-            progress.watched.record_failure(state, error)
+            forwarded.watched.record_failure(state, error)
             return _Outcome(state, error=error)
-        progress.watched.record_delivery()
+        forwarded.watched.record_delivery()
         if response_classes[-1] is ResponseClass.SUCCESS:
-            progress.watched.record_success()
+            forwarded.watched.record_success()
         elif response_classes[-1] is ResponseClass.MISDIRECTED:
             self._quarantine.crash_detector.address_taken(state)
         return _Outcome(state, response_class=response_classes[-1], response=response)
 
-    def _abandoned_error(self, progress: _Progress, code: ErrorCode) -> RunkeelError:
-        verdict = Verdict.MAY_HAVE_RUN if progress.sent else Verdict.NOT_RUN
+    def _abandoned_error(self, forwarded: _ForwardedRequest, code: ErrorCode) -> RunkeelError:
+        verdict = Verdict.MAY_HAVE_RUN if forwarded.possibly_run_attempts else Verdict.NOT_RUN
         if verdict is Verdict.NOT_RUN:
+            # No server ran the request, so the client may send it again. The other codes would
+            # leave that open: DEADLINE_EXCEEDED is a 504 response.
             code = ErrorCode.QUEUE_FULL
-        return RunkeelError(code, progress.service, verdict, self._retry_after_seconds(progress))
+        return RunkeelError(code, forwarded.service, verdict, self._retry_after_seconds(forwarded))
 
-    def _retry_after_seconds(self, progress: _Progress) -> float:
-        servers = self._directory.candidates(progress.service)
+    def _retry_after_seconds(self, forwarded: _ForwardedRequest) -> float:
+        servers = self._directory.candidates(forwarded.service)
         return estimate_retry_after(servers, steady_seconds())
 
-    def _log_attempt(self, progress: _Progress, outcome: _Outcome) -> None:
+    def _log_attempt(self, forwarded: _ForwardedRequest, outcome: _Outcome) -> None:
         logger.info(
             "attempt failed",
             code="attempt",
-            request=progress.request.request_id,
+            request=forwarded.request.request_id,
             backend=outcome.state.incarnation,
             outcome=outcome.label,
             detail=outcome.error.detail if outcome.error else "",
-            age_ms=int((steady_seconds() - progress.started) * 1000),
+            age_ms=int((steady_seconds() - forwarded.started) * 1000),
         )
 
 
@@ -319,6 +337,6 @@
     state.in_flight -= 1
 
 
-def _report_disconnect(gone: Event, results: Queue) -> None:
-    gone.wait()
+def _report_disconnect(disconnected: Event, results: Queue) -> None:
+    disconnected.wait()
     results.put(_CLIENT_DISCONNECTED)
