--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -56,7 +56,7 @@
 
 
 class Quarantine:
-    """A node's view of the requests that servers crashed under.
+    """A node's view of the requests during which servers crashed.
 
     Args:
         secret: fingerprint key shared by the cluster's nodes.
@@ -72,7 +72,9 @@
         self.ledger.on_change(self._on_record_changed)
 
     def watch(self, identify: Callable[[], str], service: str, request_id: str) -> WatchedRequest:
-        """Start tracking one client attempt or one run of a batch item.
+        """Start tracking a client's request or a batch item, over all its attempts or runs.
+
+        A request that the client sends again is tracked anew.
 
         Args:
             identify: computes the request's fingerprint; called only when needed, to avoid hashing
@@ -90,6 +92,8 @@
         deadline = steady_seconds() + wait_seconds
         while True:
             answer = self._ask_once(record)
+            # The retry delay is this short while another request of the service is on trial.
+            # Denials for other reasons mostly have a longer one.
             busy = not answer.granted and answer.retry_after_seconds <= BUSY_RETRY_SECONDS
             if not busy or steady_seconds() + answer.retry_after_seconds > deadline:
                 return answer
@@ -145,7 +149,9 @@
 
 
 class WatchedRequest:
-    """One client attempt or run of a request; see :class:`Quarantine`.
+    """A client's request or a batch item, tracked over all its attempts or runs.
+
+    See :meth:`Quarantine.watch`.
 
     Attributes:
         on_trial: whether the coordinator has granted a trial that is not used yet.
@@ -176,7 +182,10 @@
 
     @property
     def suspected(self) -> bool:
-        """Whether a server has crashed under the request since it was last cleared."""
+        """Whether a server has crashed during the request since the request was last cleared.
+
+        Unlike :attr:`quarantined`, true from the first crash on.
+        """
         record = self._record()
         return record is not None and bool(record.ended)
 
