--- a/src/runkeel/usage/duty.py
+++ b/src/runkeel/usage/duty.py
@@ -1,4 +1,4 @@
-"""The coordinator's usage duty: collects the nodes' counts, decides windows and reports them."""
+"""Collects the nodes' usage counts on the coordinator and reports them to the platform."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
 """
 
 MIN_DECISION_DELAY_SECONDS = 0.3
-"""Minimum time between the end of a window and its decision."""
+"""Minimum time between the end of a window and its decision.
+
+A source is waited for only once it has sent counts; the delay leaves time for the first ones.
+"""
 
 ACTIVE_SOURCE_WINDOWS = 3
 """A source that sent counts within this many windows must complete a window before its decision."""
@@ -45,7 +48,7 @@
 """Time-out of a report to the platform."""
 
 REPORT_RETRY_DELAY_SECONDS = 0.3
-"""Delay before a failed report is retried; keeps well below the platform's limit of duty calls."""
+"""Delay before a failed report is retried, to limit the rate of calls to the platform."""
 
 STORE_RETRY_DELAY_SECONDS = 0.2
 """Delay before a failed read or write of the ledger is retried."""
@@ -65,11 +68,15 @@
 
 
 class UsageDuty:
-    """Reports usage during one term of this node as coordinator; a new one is created per term.
+    """Decides and reports each tenant's usage per time window while this node is the coordinator.
+
+    Nodes send their counts of requests. A window is decided, which fixes its counts, once all
+    active nodes have sent theirs or the decision is due. It is reported after the decision has
+    been written to the store. A new instance is created for each term.
 
     Args:
         epoch: the term.
-        lease: ensures that no other node makes the duty's calls.
+        lease: ensures that only one node at a time reports usage to the platform.
         holder: name of this node in calls to the platform.
         clock: returns the seconds since the Unix epoch.
         nodes: returns the approximate number of nodes.
@@ -106,7 +113,7 @@
         self._written_bytes = 0
         self._written_at = 0.0
         self._dirty = False
-        self._confirmed: dict[int, dict[str, int]] = {}
+        self._reportable: dict[int, dict[str, int]] = {}
         """Counts of decided windows that are persisted in the store but not reported yet."""
         self._sources: dict[str, _Source] = {}
         self._reports_pending = Event()
@@ -158,8 +165,6 @@
         pause = self._nodes() / MAX_UPDATES_PER_SECOND
         return UsageCountsReply(True, int(pause * 1000))
 
-    # The ledger
-
     def _run_ledger(self) -> None:
         self._load()
         while True:
@@ -202,11 +207,12 @@
         for window, sources in open_counts.items():
             for source, counts in sources.items():
                 self._ledger.merge(window, source, counts)
-        self._confirm()
+        self._queue_reports()
 
-    def _confirm(self) -> None:
+    def _queue_reports(self) -> None:
+        """Queue the decided windows for reporting; called once the store has their decisions."""
         for window in self._ledger.unreported():
-            self._confirmed.setdefault(window, self._ledger.decided[window])
+            self._reportable.setdefault(window, self._ledger.decided[window])
         self._reports_pending.set()
 
     def _decide_due(self) -> bool:
@@ -267,10 +273,14 @@
         self._revision = stored.revision
         self._written_at = started
         self._written_bytes = len(str(content))
-        self._confirm()
+        self._queue_reports()
 
     def _resolve_conflict(self, conflict: DocumentConflictError) -> None:
-        """Handle a conflicting write: an unacknowledged one of this term, or a later term's."""
+        """Handle a conflict with the stored ledger.
+
+        If a later term wrote it, this term's tasks stop. Otherwise an earlier term wrote it, or
+        this term did in a write that wasn't acknowledged; it is adopted and written again.
+        """
         self._dirty = True
         current = conflict.current
         if current is None or current.content is None:
@@ -302,14 +312,12 @@
     def _end_of(self, window: int) -> float:
         return (window + 1) * self._settings.window_seconds
 
-    # Reports
-
     def _report_all(self) -> None:
         while True:
             self._reports_pending.wait()
             self._reports_pending.clear()
-            while self._confirmed:
-                if not self._report(min(self._confirmed)):
+            while self._reportable:
+                if not self._report(min(self._reportable)):
                     gevent.sleep(REPORT_RETRY_DELAY_SECONDS)
 
     def _report(self, window: int) -> bool:
@@ -322,7 +330,7 @@
                 gevent.sleep(wait)
                 self._lease.confirm()
             holder = DutyHolder(self._holder, self._lease.token)
-            report = UsageReport(window, self._confirmed[window])
+            report = UsageReport(window, self._reportable[window])
             self._platform.report_usage(report, holder, REPORT_TIMEOUT_SECONDS, self._lease.check)
         except RunkeelError as error:
             USAGE_REPORTS.labels(str(error.code)).inc()
@@ -335,7 +343,7 @@
                 age_ms=int((self._clock() - self._end_of(window)) * 1000),
             )
             return False
-        counts = self._confirmed.pop(window)
+        counts = self._reportable.pop(window)
         self._ledger.reported.add(window)
         USAGE_REPORTS.labels("").inc()
         logger.info(
--- a/tests/usage/test_usage_fuzz.py
+++ b/tests/usage/test_usage_fuzz.py
@@ -26,7 +26,7 @@
 def decide_before_persisting(self):
     """Mutant of _decide_due: decisions are reported before they are persisted."""
     decided = decide_due(self)
-    self._confirm()
+    self._queue_reports()
     return decided
 
 
--- a/tests/usage/usage_machine.py
+++ b/tests/usage/usage_machine.py
@@ -141,8 +141,8 @@
     def report(self, term, lost):
         duty = self._duty(term)
         self.platform.lost = lost
-        if duty._confirmed:
-            duty._report(min(duty._confirmed))
+        if duty._reportable:
+            duty._report(min(duty._reportable))
 
     def _duty(self, term):
         return self.duties[max(0, len(self.duties) - 1 - term)]
