--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -29,14 +29,23 @@
 WATCH_TIMEOUT_SECONDS = 29.0
 """Default time-out of a watch; below 30 s, after which idle connections are commonly closed."""
 
-INITIAL_RETRY_DELAY_SECONDS = 0.1
+BASE_RETRY_DELAY_SECONDS = 0.1
+"""Base of the retry delay, doubled for each consecutive failure; the first delay is twice this.
+
+Delays are shortened at random by up to 30 %.
+"""
+
 MAX_RETRY_DELAY_SECONDS = 0.4
+"""Upper bound of the retry delay."""
 
 MAX_WATCH_OVERRUN_SECONDS = 0.4
-"""A response that arrives later than this after the watch's time-out may be out of date."""
+"""Maximum time by which a response may exceed the watch's time-out.
+
+After a later one, the copy is only known to have been current when the call started.
+"""
 
 IDLE_PROBE_INTERVAL_SECONDS = 2.0
-"""Interval at which a watcher that need not query the store probes it while it is unavailable."""
+"""Default interval between probes of a failed store while the watcher needn't query the store."""
 
 MAX_REMOVALS = 4_000
 """Maximum number of removals recorded for other nodes."""
@@ -66,8 +75,8 @@
             it, as live owners write them again.
         recovered_at: returns the steady time, in seconds, at which the store recovered from the
             last such outage.
-        first_list: required freshness of the first list. Any age is sufficient if the caller waits
-            for the watch that follows, which returns all later changes at once.
+        first_list_freshness: required freshness of the first list. Any age is sufficient if the
+            caller waits for the watch that follows, which returns all later changes at once.
 
     Attributes:
         documents: the copy, by name.
@@ -90,10 +99,10 @@
         expiry_grace_seconds: float = 0.0,
         recovered_at: Callable[[], float] = lambda: 0.0,
         idle_probe_interval_seconds: float = IDLE_PROBE_INTERVAL_SECONDS,
-        first_list: Freshness = Freshness.CURRENT,
+        first_list_freshness: Freshness = Freshness.CURRENT,
     ) -> None:
-        self._list_freshness = first_list
-        self._resting_probe_seconds = idle_probe_interval_seconds
+        self._next_list_freshness = first_list_freshness
+        self._idle_probe_interval_seconds = idle_probe_interval_seconds
         self._store = store
         self._kind = kind
         self._expired_documents = ExpiredDocuments(
@@ -101,7 +110,7 @@
         )
         self._store_needed = store_needed
         self._listeners = [on_change]
-        self._return_listeners: list[Callable[[Document], None]] = []
+        self._reappearance_listeners: list[Callable[[Document], None]] = []
         self._unreadable_listeners: list[Callable[[Document, str], None]] = []
         self._unreadable = UnreadableDocuments()
         self._pause_seconds = pause_seconds
@@ -143,7 +152,7 @@
 
         To change listeners they may look unchanged, because the copy never removed them.
         """
-        self._return_listeners.append(listener)
+        self._reappearance_listeners.append(listener)
 
     def on_unreadable(self, listener: Callable[[Document, str], None]) -> None:
         """Register a listener for unreadable documents, called once per document and reason."""
@@ -199,7 +208,9 @@
     def _run(self) -> None:
         while True:
             if self._store_needed is not None:
-                self._store_needed.wait(self._resting_probe_seconds if self._failures else None)
+                self._store_needed.wait(
+                    self._idle_probe_interval_seconds if self._failures else None
+                )
             try:
                 self._step()
             except HistoryLostError:
@@ -224,7 +235,7 @@
     def _step(self) -> None:
         started = steady_seconds()
         if self._list_due:
-            freshness, self._list_freshness = self._list_freshness, Freshness.CURRENT
+            freshness, self._next_list_freshness = self._next_list_freshness, Freshness.CURRENT
             self._list(freshness)
             self._on_success(started, confirms=freshness is Freshness.CURRENT)
             return
@@ -255,7 +266,10 @@
         return name in self.documents and self._expired_documents.retain(name)
 
     def _record_expired_removals(self) -> None:
-        """Record removals of expired documents, at a revision that other nodes don't have yet."""
+        """Record removals of documents whose grace period has ended, at the new revision.
+
+        Nodes that have the previous revision receive them with the changes since then.
+        """
         for name in self._expired_documents.take_expired():
             if name not in self.documents:
                 self._record_removal(name)
@@ -298,14 +312,15 @@
             self.documents[document.name] = document
         self._notify_listeners(document, removed)
         if returned:
-            for listener in self._return_listeners:
+            for listener in self._reappearance_listeners:
                 listener(document)
 
     def _notify_listeners(self, document: Document, removed: bool) -> None:
         """Call the listeners; one that cannot read the document does not end the watch.
 
-        Malformed content may raise any exception in a parser, so all are caught except assertion
-        errors, which indicate a bug.
+        Malformed content may raise any exception in a parser, so the document is then reported as
+        unreadable. Only assertion errors, which indicate a bug, are raised: while watching, they
+        are logged and the documents are listed again.
         """
         try:
             for listener in self._listeners:
@@ -354,7 +369,5 @@
             await_turn()
 
     def _retry_delay(self) -> float:
-        delay = min(
-            MAX_RETRY_DELAY_SECONDS, INITIAL_RETRY_DELAY_SECONDS * 2 ** min(self._failures, 5)
-        )
+        delay = min(MAX_RETRY_DELAY_SECONDS, BASE_RETRY_DELAY_SECONDS * 2 ** min(self._failures, 5))
         return delay * random.uniform(0.7, 1.0)
