--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -1,4 +1,4 @@
-"""Coordinator's side: recruits runners and assigns runs to them."""
+"""Recruits nodes as runners of batch items on the coordinator and assigns runs to them."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         last_heard_at: when its last progress message came, on the steady clock, in seconds.
         late_ms: its event loop lag in milliseconds.
         runs: by id, the runs that it may be running.
-        unwanted: ids of the runs that it should end.
+        run_ids_to_end: ids of the runs that it should end.
     """
 
     node_id: str
@@ -67,7 +67,7 @@
     last_heard_at: float = 0.0
     late_ms: int = 0
     runs: dict[str, RemoteRun] = field(default_factory=dict)
-    unwanted: set[str] = field(default_factory=set)
+    run_ids_to_end: set[str] = field(default_factory=set)
 
     @property
     def has_capacity(self) -> bool:
@@ -153,7 +153,7 @@
     def runner_for(self, engine: BackendState) -> Runner | None:
         """Return the runner for a run at an engine; None if this node is to run it itself.
 
-        Prefers the runner that the engine was last assigned, then one in the engine's zone.
+        Prefers the runner last chosen for the engine, then one in the engine's zone.
         """
         if self._local_runs < MAX_LOCAL_RUNS or not self._runners:
             return None
@@ -294,7 +294,7 @@
     def _remove_run(self, runner: Runner, run_id: str) -> None:
         """Remove a run that has certainly ended."""
         run = runner.runs.pop(run_id, None)
-        runner.unwanted.discard(run_id)
+        runner.run_ids_to_end.discard(run_id)
         if run is not None:
             self._remove_live_run(run)
 
@@ -306,7 +306,7 @@
 
     def _request_end(self, runner: Runner, run_id: str) -> None:
         if run_id in runner.runs:
-            runner.unwanted.add(run_id)
+            runner.run_ids_to_end.add(run_id)
 
     def apply_progress(self, peer: str, message: ItemRunProgress) -> ItemRunProgressReply:
         """Apply a runner's progress message; a coordinating reply renews its lease."""
@@ -324,7 +324,7 @@
             self._release(runner)
             return ItemRunProgressReply(False, [], [])
         return ItemRunProgressReply(
-            True, [*runner.unwanted, *unknown], self._runs_at_loading_engines(runner)
+            True, [*runner.run_ids_to_end, *unknown], self._runs_at_loading_engines(runner)
         )
 
     def _apply_updates(self, runner: Runner, message: ItemRunProgress) -> list[str]:
@@ -381,7 +381,7 @@
 
     def _mark_runs_lost(self, runner: Runner, reason: str) -> None:
         runs, runner.runs = runner.runs, {}
-        runner.unwanted.clear()
+        runner.run_ids_to_end.clear()
         for run in runs.values():
             self._remove_live_run(run)
             run.mark_lost(reason)
