--- a/src/runkeel/handoff/hint_service.py
+++ b/src/runkeel/handoff/hint_service.py
@@ -1,4 +1,7 @@
-"""Storage node's side: keeps hints of jobs and writes the jobs to the store when it is back."""
+"""Keeps hints on a storage node and writes their jobs to the store once it is available again.
+
+A hint is a copy of a submitted job that a storage node keeps until the store has the job.
+"""
 
 from __future__ import annotations
 
@@ -46,9 +49,10 @@
 """
 
 NEW_DISK_WAIT_SECONDS = HINT_EXPIRY_SECONDS + 5.0
-"""Time after which a node that started with a new disk may deny that it keeps a job.
+"""Time for which a node with a new disk replies to lookups that its history is incomplete.
 
-All hints that it may have lost with the previous disk have expired by then.
+Afterwards, all hints that it may have lost with the previous disk have expired, so that a lookup
+that finds no hint shows that the node keeps none.
 """
 
 MAX_TOTAL_HINT_BYTES = 64 * 1024 * 1024
@@ -76,11 +80,14 @@
     ) -> None:
         self._shard = shard
         self._store = store
-        self._log = log
+        self._hint_log = log
         self._on_hint = on_hint
         self._hints: dict[str, str] = {}
         self._history_complete = log is None or first_start
-        """Whether this node knows of every hint that it accepted; without a disk there are none."""
+        """Whether this node has every unexpired hint that it ever accepted.
+
+        A new disk may have replaced one with hints. A node without a disk accepts none.
+        """
         self._history_task: gevent.Greenlet | None = None
         self._has_hints = Event()
         self._handoff_task: gevent.Greenlet | None = None
@@ -101,9 +108,9 @@
 
     def start(self) -> None:
         """Load the hints on disk and start handing them off."""
-        if self._log is None:
+        if self._hint_log is None:
             return
-        self._hints = self._log.load()
+        self._hints = self._hint_log.load()
         self._history_task = gevent.spawn(self._wait_for_history)
         if self._hints:
             logger.info("loaded hints from disk", code="hints_read", jobs=len(self._hints))
@@ -118,7 +125,7 @@
 
     def _wait_for_history(self) -> None:
         """Mark the history as complete, on a new disk once all hints lost before have expired."""
-        if not self._log.history_complete:
+        if not self._hint_log.history_complete:
             if not self._history_complete:
                 logger.warning(
                     "hint disk is new; earlier hints are unknown until they expire",
@@ -126,7 +133,7 @@
                     seconds=NEW_DISK_WAIT_SECONDS,
                 )
                 gevent.sleep(NEW_DISK_WAIT_SECONDS)
-            self._log.mark_history_complete()
+            self._hint_log.mark_history_complete()
         self._history_complete = True
 
     def _handle_hint(self, peer: str, message: JobHint) -> tuple[int, JobHintReply]:
@@ -162,11 +169,11 @@
         return state
 
     def _store_hint(self, job_id: str, serialized_job: str) -> int:
-        if self._log is None:
+        if self._hint_log is None:
             return JobHintState.REFUSED
         if job_id not in self._hints:
             size = sum(len(one) for one in self._hints.values())
-            if size + len(serialized_job) > MAX_TOTAL_HINT_BYTES or not self._log.put(
+            if size + len(serialized_job) > MAX_TOTAL_HINT_BYTES or not self._hint_log.put(
                 job_id, serialized_job
             ):
                 return JobHintState.REFUSED
@@ -178,7 +185,8 @@
         """Write a job to the store.
 
         Returns:
-            True if the store has it, False if another tenant uses its id, None if the store failed.
+            True if the store has the job, or may have it after a conflict; False if another tenant
+            uses its id; None if the store failed.
         """
         try:
             JobSubmission(self._store, job_id, encoded).write(STORE_TIMEOUT_SECONDS)
@@ -221,7 +229,7 @@
         )
         JOB_HINTS.labels("expired" if expired else "handed_on").inc()
         self._hints.pop(job_id, None)
-        self._log.remove(job_id)
+        self._hint_log.remove(job_id)
         return True
 
 
