--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -1,4 +1,7 @@
-"""Schedules the items of batch jobs on engines and tracks each item until it has a result."""
+"""Schedules the items of batch jobs on engines and tracks each item until it has a result.
+
+A result is *listed* once it is in a results segment in the store.
+"""
 
 from __future__ import annotations
 
@@ -138,7 +141,12 @@
         return known is None or known.precedence < precedence
 
     def adopt_output(self, item_id: str, output: PartialOutput) -> None:
-        """Continue an item from a better partial output, if its job accepts the versions."""
+        """Continue an item from a better partial output, if it needs this one.
+
+        The output is used only if the item's job and route accept its versions. A running item is
+        aborted to resume from it. A queued item is requeued as resumed whether or not the output
+        is used. For an unknown item, the output is retained in case its job is added later.
+        """
         if not self.needs_output(item_id, output.precedence):
             return
         running = self._running.of_item(item_id)
@@ -184,7 +192,11 @@
         return {task.item.item_id: task.partial for task in tasks if task.partial.pieces}
 
     def is_finished(self, item_id: str) -> bool:
-        """Return whether an item's result was listed recently, so that its output is not needed."""
+        """Return whether an item's result is listed, so that its output is not needed.
+
+        This is as of the last call of :meth:`open_outputs`. Only completed items count, and only
+        the IDs of the most recent ones are kept.
+        """
         return self._finished.is_listed(item_id)
 
     def backlogged(self, model: str) -> bool:
@@ -260,7 +272,11 @@
             starts = self._place_lane(lane, now, starts)
 
     def _place_ready(self, task: ItemTask) -> None:
-        """Start an item that has a reserved slot or whose output is complete."""
+        """Start an item that has a reserved slot or whose output is complete.
+
+        Such an item is *ready*: it needs no free engine, so it does not wait in a lane. Its
+        reserved slot, if any, is released first; starting it on that engine acquires a slot again.
+        """
         route = self._route(task)
         if self._is_done(task):
             self._withdraw(task)
@@ -304,7 +320,7 @@
                 self._queue.put(task)
                 continue
             if not self._runner.has_capacity:
-                # A further run could not be read in time.
+                # Neither this node nor a sampled runner can read the output of another run in time.
                 return starts
             length = self._mover.relative_length(task)
             service = choose_service(route, task.item.item_id)
@@ -355,7 +371,10 @@
         return reserved
 
     def _fail_without_route(self, lane: Lane, now: float) -> None:
-        """Fail items whose route has been missing for MISSING_ROUTE_TIMEOUT_SECONDS."""
+        """Fail items whose route has been missing for MISSING_ROUTE_TIMEOUT_SECONDS.
+
+        No item fails while this node has no routing configuration.
+        """
         if self._routing.configuration is None:
             return
         for task in self._queue.of_lane(lane):
