--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -42,7 +42,11 @@
 """How long the watch may take to deliver a reported job before the job is fetched."""
 
 RETENTION_SECONDS = 150.0
-"""Age since submission from which an ended job is removed from the store."""
+"""Age since submission from which an ended job is removed from the store.
+
+Must exceed ``HINT_EXPIRY_SECONDS`` of :mod:`runkeel.handoff.hint_service`, so that no storage node
+writes a removed job again.
+"""
 
 SWEEP_INTERVAL_SECONDS = 10.0
 """Interval between two removals of expired jobs."""
@@ -100,9 +104,9 @@
         partial_outputs_expected: bool = False,
         previous_term_drain_seconds: Callable[[int], float] = lambda items: 0.0,
     ) -> None:
-        self._earlier_runs_seconds = previous_term_drain_seconds
+        self._previous_term_drain_seconds = previous_term_drain_seconds
         self.loaded = Event()
-        self._texts_expected = partial_outputs_expected
+        self._partial_outputs_expected = partial_outputs_expected
         self._store = store
         self._job_store = JobStore(store)
         self._epoch = epoch
@@ -183,7 +187,7 @@
             return
         state.end()
         self._scheduler.drop(state)
-        self._unload_oldest()
+        self._enforce_memory_limit()
         JOBS.labels("ended").inc()
         logger.info(
             "job ended",
@@ -194,7 +198,7 @@
             age_ms=int((time.time() - state.job.submitted_at) * 1000),
         )
 
-    def _unload_oldest(self) -> None:
+    def _enforce_memory_limit(self) -> None:
         """Unload ended jobs, oldest first, until the memory limit is met."""
         excess = sum(state.size for state in self._jobs.values()) - MAX_MEMORY_BYTES
         ended = [state for state in self._jobs.values() if state.ended and not state.unloaded]
@@ -210,7 +214,7 @@
 
     def demand(self, model: str, newest_version: int) -> ModelDemand:
         """Return which versions of a model the jobs accept, and how much work they have for it."""
-        open_jobs = [
+        minimum_versions = [
             state.job.minimum_version
             for state in self._jobs.values()
             if state.job.model == model and not state.ended and not state.complete
@@ -221,12 +225,14 @@
         )
         items = max(self._recent_item_counts.get(model, ()), default=None)
         backlogged = self._scheduler.backlogged(model)
-        return ModelDemand(max(open_jobs, default=0), max_version_lag, items, backlogged)
-
-    def page(self, state: JobState, position: int, wait: float, max_bytes: int) -> ResultPage:
-        """Return results from a position on, waiting up to ``wait`` seconds for the first."""
-        if wait > 0:
-            state.wait_for_position(position, wait)
+        return ModelDemand(max(minimum_versions, default=0), max_version_lag, items, backlogged)
+
+    def page(
+        self, state: JobState, position: int, wait_seconds: float, max_bytes: int
+    ) -> ResultPage:
+        """Return results from a position on, waiting up to ``wait_seconds`` for the first."""
+        if wait_seconds > 0:
+            state.wait_for_position(position, wait_seconds)
         return state.page(position, max_bytes)
 
     def _spawn(self, function: Callable[..., None], *arguments: object) -> None:
@@ -235,7 +241,13 @@
         task.rawlink(self._tasks.discard)
 
     def _load_and_start(self) -> None:
-        """Read ends, then jobs, and start placement only then, so that the oldest jobs go first."""
+        """Read ends, then jobs, and start placement afterwards, so that the oldest jobs go first.
+
+        Placement starts without the jobs that have not loaded within
+        :data:`INITIAL_LOAD_TIMEOUT_SECONDS` of the listing. Before that, it waits for partial
+        outputs if some are expected, and for as long as other nodes may still run items for the
+        previous coordinator.
+        """
         self._end_watcher.start()
         self._end_watcher.listed.wait()
         self._job_watcher.start()
@@ -244,12 +256,12 @@
         while self._loading and steady_seconds() < deadline:
             gevent.sleep(_POLL_INTERVAL_SECONDS)
         self.loaded.set()
-        if self._texts_expected and self._jobs:
+        if self._partial_outputs_expected and self._jobs:
             gevent.sleep(
                 max(0.0, self._started_at + PARTIAL_OUTPUT_WAIT_SECONDS - steady_seconds())
             )
         items = sum(len(state.items) for state in self._jobs.values() if not state.ended)
-        drained_at = self._started_at + self._earlier_runs_seconds(items)
+        drained_at = self._started_at + self._previous_term_drain_seconds(items)
         gevent.sleep(max(0.0, drained_at - steady_seconds()))
         self._scheduler.start()
 
@@ -262,7 +274,6 @@
             self._jobs.pop(document.name, None)
             self._unconfirmed.pop(document.name, None)
             return
-        # Jobs that ended before this term are not loaded: reads of them are served from the store.
         self._load_once(document)
         if document.name in self._ended_ids and document.name not in self._jobs:
             self._record_ended_job(document)
@@ -318,7 +329,10 @@
             return
 
     def _load_once(self, document: Document) -> None:
-        """Load a job unless it is loaded, being loaded or ended; confirm it if it runs already."""
+        """Load a job unless it is loaded, being loaded or ended; confirm it if it runs already.
+
+        A job that ended before it was loaded is not loaded: reads of it are served from the store.
+        """
         name = document.name
         unconfirmed = self._unconfirmed.pop(name, None)
         if unconfirmed is not None:
@@ -352,7 +366,7 @@
             return
         state = JobState(job, part_names(document.content))
         writer = ResultWriter(self._store, state, self._epoch, self._on_listed)
-        if not self._submitted_in_this_term() and not self._run_unless_superseded(writer.fence):
+        if not self._has_term_settled() and not self._run_unless_superseded(writer.fence):
             return
         self._jobs[document.name] = state
         self._loading.discard(document.name)
@@ -404,8 +418,11 @@
         recent = self._recent_item_counts.setdefault(job.model, deque(maxlen=MAX_RECENT_JOBS))
         recent.append(len(job.items) + others)
 
-    def _submitted_in_this_term(self) -> bool:
-        """Return whether a job that arrives now is assumed to be new in this term."""
+    def _has_term_settled(self) -> bool:
+        """Return whether the term has lasted for longer than :data:`TERM_SETTLE_SECONDS`.
+
+        Jobs that arrive from then on are assumed not to have run under another term.
+        """
         return steady_seconds() - self._started_at > TERM_SETTLE_SECONDS
 
     def _run_unless_superseded(self, write: Callable[[], None]) -> bool:
