--- a/tests/jobs/test_coordinator.py
+++ b/tests/jobs/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Successive coordinators on one store: none lists results once a later one has loaded the job."""
+"""Jobs under one or successive coordinators on one store: loading, demand, unloading, listing."""
 
 import unittest
 from dataclasses import replace
@@ -69,7 +69,8 @@
         self.store.put(DocumentKind.JOB, JOB_ID, encode_job(make_job(), "part").content)
         self.superseded = []
 
-    def _term(self, epoch):
+    def _start_term(self, epoch):
+        """Start a coordinator; returns the state of the job that it has loaded."""
         coordinator = JobCoordinator(
             self.store,
             IdleScheduler(),
@@ -94,10 +95,10 @@
 
     def test_items_are_placed_once_all_jobs_are_loaded(self):
         """Guards against the oldest job, loaded last, finding all slots taken."""
-        first = self._term(1)
+        first_state = self._start_term(1)
         for number in range(3):
-            first.add_unlisted(result(number))
-            self._wait(lambda number=number: len(first.results) > number)
+            first_state.add_unlisted(result(number))
+            self._wait(lambda number=number: len(first_state.results) > number)
         self.store.put(DocumentKind.JOB, "younger", encode_job(make_job(), "part").content)
         scheduler = RecordingScheduler()
         self.store.call_seconds = 0.02
@@ -123,8 +124,8 @@
 
     def test_ended_jobs_are_unloaded_above_the_memory_limit(self):
         """Guards against the coordinator being killed for its memory use."""
-        first = self._term(1)
-        with mock.patch.object(coordinator_module, "MAX_MEMORY_BYTES", first.size):
+        first_state = self._start_term(1)
+        with mock.patch.object(coordinator_module, "MAX_MEMORY_BYTES", first_state.size):
             self.store.put(
                 DocumentKind.JOB, "second", encode_job(make_job(job_id="second"), "p").content
             )
@@ -132,32 +133,33 @@
             self.coordinator.end("second")
         self.assertIsNotNone(self.coordinator.job(JOB_ID))
         self.assertIsNone(self.coordinator.job("second"))
-        first.add_unlisted(result(0))
-        self._wait(lambda: first.results)
+        first_state.add_unlisted(result(0))
+        self._wait(lambda: first_state.results)
 
     def test_successor_continues_after_listed_results(self):
-        first = self._term(1)
-        first.add_unlisted(result(2))
-        self._wait(lambda: first.results)
-        second = self._term(2)
-        self.assertEqual(self._ids(second), self._ids(first))
+        first_state = self._start_term(1)
+        first_state.add_unlisted(result(2))
+        self._wait(lambda: first_state.results)
+        second_state = self._start_term(2)
+        self.assertEqual(self._ids(second_state), self._ids(first_state))
 
     def test_earlier_coordinator_lists_nothing_after_its_successor_has_loaded(self):
         """Guards against a result that can be read from one node only."""
-        first = self._term(1)
-        first.add_unlisted(result(0))
-        self._wait(lambda: first.results)
-        second = self._term(2)
-        first.add_unlisted(result(1))
+        first_state = self._start_term(1)
+        first_state.add_unlisted(result(0))
+        self._wait(lambda: first_state.results)
+        second_state = self._start_term(2)
+        first_state.add_unlisted(result(1))
         self._wait(lambda: self.superseded == [1])
-        self.assertEqual(self._ids(first), self._ids(second))
-        second.add_unlisted(result(3))
-        self._wait(lambda: len(second.results) == 2)
+        self.assertEqual(self._ids(first_state), self._ids(second_state))
+        second_state.add_unlisted(result(3))
+        self._wait(lambda: len(second_state.results) == 2)
 
     def test_listing_of_handed_over_job_is_unknown_until_read(self):
         """Guards against hiding results that clients have read in an earlier term.
 
-        This happened to a job that was submitted again in a partitioned zone.
+        A job that is submitted again in a partitioned zone is handed over although the store may
+        contain results of it.
         """
         self.store.put(
             DocumentKind.JOB_RESULTS, segment_name(JOB_ID, 0), encode_segment(1, [result(0)])
@@ -174,16 +176,16 @@
         self.assertEqual(len(state.results), 1)
 
     def test_listed_items_are_not_listed_twice(self):
-        first = self._term(1)
-        first.add_unlisted(result(0))
-        self._wait(lambda: first.results)
-        second = self._term(2)
+        first_state = self._start_term(1)
+        first_state.add_unlisted(result(0))
+        self._wait(lambda: first_state.results)
+        second_state = self._start_term(2)
         for number in range(4):
-            second.add_unlisted(result(number))
-        self._wait(lambda: second.complete)
-        self.assertEqual(len(set(self._ids(second))), 4)
-        third = self._term(3)
-        self.assertEqual(self._ids(third), self._ids(second))
+            second_state.add_unlisted(result(number))
+        self._wait(lambda: second_state.complete)
+        self.assertEqual(len(set(self._ids(second_state))), 4)
+        third_state = self._start_term(3)
+        self.assertEqual(self._ids(third_state), self._ids(second_state))
 
     def test_job_ended_before_the_term_is_not_loaded(self):
         self.store.put(DocumentKind.JOB_END, JOB_ID, {})
