--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -2,8 +2,9 @@
 
 Every node watches the coordinator's document and pings the coordinator. The coordinator ranks the
 nodes that ping it; when it stops answering, or reports that it has lost the store, the first node
-in rank replaces it by compare-and-swap. Two nodes may briefly both act as coordinator: results and
-orders are protected by conditional writes of their own.
+in rank replaces it by compare-and-swap. Two nodes may briefly both act as coordinator: the results
+of jobs, and the orders to engines to load a version, are protected by conditional writes of their
+own.
 """
 
 from __future__ import annotations
@@ -81,7 +82,7 @@
 """Timeout of the queries to witnesses, which ping the coordinator themselves."""
 
 MAX_QUERIED_SUCCESSORS = 2
-"""Number of successors to query; if none of them answers, the store is read."""
+"""Number of successors that a node queries to learn whether one of them coordinates now."""
 
 STORAGE_NODES_SETTLE_SECONDS = 3.0
 """How long after its start a node's list of storage nodes may be incomplete."""
@@ -93,7 +94,11 @@
 """Attempts to notify the replaced coordinator of the new epoch."""
 
 START_JITTER_SECONDS = 0.3
-"""Maximum random delay before the first claim of a node, so that starting nodes don't collide."""
+"""Maximum random delay before a starting node first claims the term or pings the coordinator.
+
+It keeps the claims of nodes that start together from colliding. Nodes that only follow are delayed,
+too; a restarted coordinator is not.
+"""
 
 NOT_PREFERRED_START_DELAY_SECONDS = 1.5
 """Delay of a node that is not preferred when it starts and there is no coordinator."""
@@ -127,7 +132,12 @@
 
 
 class LeaseConfirmations(Protocol):
-    """Confirmations of the order lease, exchanged in pings to shorten a successor's wait."""
+    """Confirmations of the order lease, exchanged in pings.
+
+    Only the holder of the lease may send orders to engines; see
+    :mod:`runkeel.coordination.order_lease`. A successor has to pause before its first order. If it
+    knows when the previous holder last confirmed the lease, it counts the pause from then.
+    """
 
     @property
     def confirmation(self) -> tuple[int, float]:
@@ -286,23 +296,26 @@
         )
         self._set_coordinator(announced)
 
-    def on_coordinator(self, listener: Callable[[], None]) -> None:
+    def on_term_change(self, listener: Callable[[], None]) -> None:
         """Add a listener that is called whenever a new term becomes known, from any source."""
         self._listeners.append(listener)
 
     @property
     def known_successor(self) -> Coordinator | None:
-        """The coordinator that replaced this node; None: none is known."""
+        """Same as :attr:`other_coordinator`: the node to which this node refers its followers.
+
+        It has not necessarily replaced this node, which may never have coordinated.
+        """
         return None if self.coordinating else self.other_coordinator
 
-    def superseded(self, reason: str) -> None:
-        """Step down: another coordinator has acted."""
+    def step_down(self, reason: str) -> None:
+        """Step down because another coordinator has acted, and restart the watch for it."""
         self._step_down(reason)
         self._watcher.restart_watch()
 
-    def copy_holders(self, keepers: bool = True) -> list[str]:
+    def copy_holders(self, include_not_preferred: bool = True) -> list[str]:
         """Return the nodes that hold copies of the running items; see :class:`PeerRegistry`."""
-        return self._peers.copy_holders(keepers)
+        return self._peers.copy_holders(include_not_preferred)
 
     def peers(self) -> list[NodeAddress]:
         """Return the addresses of the nodes that have pinged this coordinator recently."""
@@ -314,28 +327,38 @@
         return self._tentative.epoch > 0
 
     def likely_successors(self) -> list[str]:
-        """Return the successors that hold copies of the open jobs, which nodes query first."""
+        """Return the first successors in rank.
+
+        The coordinator sends them copies of the open jobs, and nodes query them first.
+        """
         return [one.node_id for one in self._peers.successors()[:MAX_QUERIED_SUCCESSORS]]
 
     def storage_nodes(self) -> KnownStorageNodes:
-        """Return the nodes that keep jobs on behalf of the store: coordinator and successors."""
+        """Return the known storage nodes, which keep hints of jobs that are not in the store yet.
+
+        They are the coordinator, its successors and, if it is preferred, this node.
+        """
         known = self._coordinator
-        keepers = [
+        known_storage_nodes = [
             StorageNode(one.node_id, one.zone) for one in self._advertised.successor_addresses
         ]
         if self.coordinating:
             own_successors = [
                 StorageNode(one.node_id, one.zone) for one in self._peers.successors()
             ]
-            keepers = [StorageNode(self._node_id, self._zone), *own_successors, *keepers]
+            known_storage_nodes = [
+                StorageNode(self._node_id, self._zone),
+                *own_successors,
+                *known_storage_nodes,
+            ]
         else:
             own = [StorageNode(self._node_id, self._zone)] if self._preferred else []
             leading = [StorageNode(known.node_id, known.zone)] if known is not None else []
-            keepers = [*own, *leading, *keepers]
+            known_storage_nodes = [*own, *leading, *known_storage_nodes]
         complete = self.coordinating or self._advertised.received_any
         settled = steady_seconds() - self._started_at >= STORAGE_NODES_SETTLE_SECONDS
         # A node may appear in more than one of these lists; the first entry counts.
-        distinct = {one.node_id: one for one in reversed(keepers)}
+        distinct = {one.node_id: one for one in reversed(known_storage_nodes)}
         return KnownStorageNodes(tuple(reversed(distinct.values())), complete and settled)
 
     @property
@@ -478,7 +501,8 @@
                 # It has restarted and coordinates in a later term.
                 address = NodeAddress(known.node_id, str(known.address), known.zone)
                 self.note_successor(address, pong.epoch)
-        # Don't count time in which this process itself was stalled.
+        # A ping takes at most its timeout; any longer time is a stall of this process, which must
+        # not count as silence of the coordinator.
         pinged_at = max(pinged_at, steady_seconds() - pings.PING_TIMEOUT_SECONDS)
         if self._succession.is_serving(pong):
             self._succession.note_contact()
@@ -533,9 +557,10 @@
             )
 
     def _query_successors(self, known: Coordinator) -> None:
-        """Query the likeliest successors whether one of them coordinates now.
+        """Query the likeliest successors to learn whether one of them coordinates now.
 
-        This saves calls to the store, which every node would make at the same time.
+        If one does, this node follows its feed, which saves calls to the store that every node
+        would make at the same time. The watch of the coordinator's document is independent of this.
         """
         now = steady_seconds()
         if now - self._successors_queried_at < SUCCESSOR_QUERY_INTERVAL_SECONDS:
@@ -622,7 +647,7 @@
         try:
             claim.write(self._store, self._shard, known, CLAIM_TIMEOUT_SECONDS)
         except DocumentConflictError as conflict:
-            if self._was_claim_applied(conflict.current, epoch):
+            if self._adopt_applied_claim(conflict.current, epoch):
                 self._become_coordinator(epoch, reason)
                 return
             self._pending_claim_epoch = 0
@@ -646,8 +671,11 @@
             self._predecessor = known
             gevent.spawn(self._notify_predecessor, known, epoch)
 
-    def _was_claim_applied(self, document: Document | None, epoch: int) -> bool:
-        """Return whether the store holds this process's claim, although the answer was lost."""
+    def _adopt_applied_claim(self, document: Document | None, epoch: int) -> bool:
+        """Record this process as the coordinator if the store holds its claim of this epoch.
+
+        The store may have applied a claim although its answer was lost. Returns whether it has.
+        """
         if document is None or document.name != self._shard or epoch != self._pending_claim_epoch:
             return False
         announced = Coordinator.from_document(document)
@@ -661,6 +689,7 @@
             self._tentative.confirm()
         else:
             self._tentative.end("a different term began")
+        # ``_coordinator`` may remain the predecessor until the watch delivers this node's document.
         self._epoch, self._pending_claim_epoch = epoch, 0
         self._coordinating_since = steady_seconds()
         self._watcher.restart_watch()
--- a/src/runkeel/coordination/peers.py
+++ b/src/runkeel/coordination/peers.py
@@ -88,18 +88,19 @@
         """Return the addresses of the nodes that have not expired."""
         return [known.address for _, known in self._live()]
 
-    def copy_holders(self, keepers: bool = True) -> list[str]:
+    def copy_holders(self, include_not_preferred: bool = True) -> list[str]:
         """Return the nodes that hold copies of the running items, the likeliest successors first.
 
         Args:
-            keepers: whether to include nodes that are not preferred.
+            include_not_preferred: whether to add nodes that are not preferred to the likeliest
+                successors.
         """
         live = self._live()
         preferred = self._succession()
         others = [(name, one.address.zone) for name, one in live if not one.preferred]
         others = [name for name, zone in sorted(others, key=lambda one: one[1] != self._zone)]
         successors = [*preferred, *others][:SUCCESSOR_COPIES]
-        if not keepers:
+        if not include_not_preferred:
             return successors
         further = [name for name in others if name not in successors]
         return [*successors, *further[:KEEPER_COPIES]]
--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -137,7 +137,9 @@
             epoch,
             self.scheduler.open_outputs,
             # Runners keep copies of the partial outputs of their own runs.
-            lambda: dependencies.election.copy_holders(keepers=not self.runners.needs_runners),
+            lambda: dependencies.election.copy_holders(
+                include_not_preferred=not self.runners.needs_runners
+            ),
             dependencies.journal,
             self.scheduler.is_finished,
         )
@@ -165,7 +167,7 @@
             self.scheduler,
             epoch,
             lambda model: self.targets.get(model, 0),
-            dependencies.election.superseded,
+            dependencies.election.step_down,
             partial_outputs_expected=epoch > 1 and not partial_outputs,
             previous_term_drain_seconds=self._earlier_runs_seconds,
         )
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -263,7 +263,7 @@
             self._output_copies,
             lambda: self._term.scheduler if self._term is not None else None,
         )
-        self._election.on_coordinator(self._on_coordinator_changed)
+        self._election.on_term_change(self._on_coordinator_changed)
         self._term: CoordinatorTerm | None = None
         self.deferrable_calls = DeferrableCalls(self.directory)
         scorer = Scorer(self.forwarder, self.routing, protocol, self.deferrable_calls)
