--- a/src/runkeel/coordination/feed_follower.py
+++ b/src/runkeel/coordination/feed_follower.py
@@ -1,8 +1,8 @@
 """Follows the coordinator's feed, so that not every node has to watch the store.
 
-While the coordinator answers and its own copy is fresh, this node's watchers are suspended. When it
-stops answering, or reports that the store has not confirmed its copy recently, they watch the store
-themselves, continuing from their revision.
+While the coordinator answers and the coordinator's copy is fresh, this node's watchers are
+suspended. When the coordinator stops answering, or reports that the store has not confirmed its
+copy recently, they watch the store themselves, continuing from their revision.
 """
 
 from __future__ import annotations
@@ -34,14 +34,19 @@
 from runkeel.wire.network import PeerNetwork
 
 MAX_HOLD_SECONDS = 1.0
+"""Maximum time for which the coordinator may hold a reply until there is a change."""
+
 MAX_HOLD_SHARE = 0.5
-"""How long a reply may be held; the share is of the propagation time, and the minimum counts."""
+"""Share of the propagation time for which a reply may be held, up to MAX_HOLD_SECONDS."""
 
 ANSWER_TIMEOUT_SECONDS = 0.4
 """Timeout of a reply, in addition to the time for which it may be held."""
 
 FIRST_ANSWER_TIMEOUT_SECONDS = 0.1
-"""The same for the first reply after a start, as the node has no documents yet."""
+"""The same for the first reply after a start.
+
+Shorter, as a starting node has no documents until this reply, and reads the store if it fails.
+"""
 
 RETRY_SECONDS = 0.3
 """Pause before a retry while the watchers use the store."""
@@ -50,11 +55,11 @@
 """Polling interval while there is no other coordinator."""
 
 GRACE_SHARE = 0.65
-"""A node that has lost the feed reads the store only when updates would otherwise be late.
+"""Share of the propagation time after which a node that has lost the feed reads the store.
 
-The share is of the propagation time and counts from the store's last confirmation of the
-coordinator's copy. Most feeds recover within it, from the same coordinator or its successor, and
-this saves the load on the store of many nodes that watch it at once.
+The grace period starts at the first failed read and is shorter by the maximum age of the
+coordinator's copy; see :func:`grace_seconds`. Most feeds recover within it, from the same
+coordinator or its successor, which saves the load on the store of many nodes that watch it at once.
 """
 
 START_GRACE_SECONDS = 1.0
@@ -185,7 +190,7 @@
         if not self._watchers_suspended or now - self._lost_at >= self._grace_seconds:
             self.use_store(problem)
         elif problem != STALE:
-            # Only the store has a new coordinator that the previous one has not reported.
+            # A new coordinator that its predecessor did not report is found in the store.
             self.coordinator_needed.set()
 
     def _suspend_watchers(self, coordinator: Coordinator) -> None:
@@ -211,8 +216,10 @@
         """Read the feed once; returns the problem, or an empty string if there was none."""
         # The first reply is needed at once, as the store is in use until then.
         held = self._hold_seconds if self._watchers_suspended else 0.0
-        known = self._watchers_suspended or self.store_needed.is_set()
-        answer_timeout_seconds = ANSWER_TIMEOUT_SECONDS if known else FIRST_ANSWER_TIMEOUT_SECONDS
+        has_document_source = self._watchers_suspended or self.store_needed.is_set()
+        answer_timeout_seconds = (
+            ANSWER_TIMEOUT_SECONDS if has_document_source else FIRST_ANSWER_TIMEOUT_SECONDS
+        )
         revisions = {
             str(kind): self._comparison.revision_to_read_from(watcher)
             for kind, watcher in self._watchers.items()
