--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -71,6 +71,7 @@
 from runkeel.wire.network import PeerNetwork
 
 SHARD = "fleet"
+"""Name of the coordinator's document and the order lease; sent in messages between nodes."""
 
 HINT_FOLDER = "jobs"
 """Subfolder of the data folder for jobs that the store has not accepted yet."""
@@ -84,7 +85,8 @@
 FIRST_ELECTION_DELAY_SECONDS = 1.0
 """Delay of the first election on nodes that are not preferred, when a system first starts.
 
-The preferred nodes elect a coordinator meanwhile, which saves the others futile store calls.
+The preferred nodes elect a coordinator meanwhile, which saves the others futile store calls. The
+feed follower's wait for a first coordinator is extended by the same delay.
 """
 
 EXPIRED_BACKEND_GRACE_SECONDS = 2.0
@@ -140,7 +142,7 @@
 
 
 class FleetNode:
-    """A node, without the platform's client protocol, whose adapter is built on top of it."""
+    """A node without a client protocol; the platform's protocol adapter is built on top of it."""
 
     def __init__(
         self,
@@ -150,6 +152,8 @@
         protocol: BackendProtocol,
         duties: DutyPlatform | None = None,
     ) -> None:
+        # The callbacks below use attributes such as ``_election`` and ``_term`` that are set later
+        # in this constructor; none is called before they are.
         self._settings = settings
         store = ObservedStore(store, self._probe_seconds)
         self._store = store
@@ -177,7 +181,7 @@
             lambda: self._election.neighbours(),
             lambda: self._term is not None,
             self.directory,
-            lambda: self.knows_routes,
+            lambda: self.knows_routes_and_servers,
         )
         self.quarantine = self._quarantine.quarantine
         self.forwarder = Forwarder(
@@ -352,12 +356,12 @@
 
     @property
     def configured(self) -> bool:
-        """Whether this node knows its configuration, the servers and the quarantine records."""
-        return self.knows_routes and self._quarantine.caught_up.is_set()
+        """Whether this node knows its routing configuration, the servers and quarantine records."""
+        return self.knows_routes_and_servers and self._quarantine.caught_up.is_set()
 
     @property
-    def knows_routes(self) -> bool:
-        """Whether this node knows its configuration and the servers."""
+    def knows_routes_and_servers(self) -> bool:
+        """Whether this node knows its routing configuration and the servers."""
         listed = all(watcher.listed.is_set() for watcher in self._watchers)
         return self.routing.configuration is not None and listed
 
@@ -380,7 +384,10 @@
             self._usage_reporter.start()
 
     def _first_election_delay_seconds(self) -> float:
-        """Return the delay in seconds that lets preferred nodes win the first election."""
+        """Return the delay in seconds that lets preferred nodes win the first election.
+
+        The feed follower's wait for a first coordinator is extended by it, too.
+        """
         waits = self._settings.first_start and not self._settings.preferred_coordinator
         return FIRST_ELECTION_DELAY_SECONDS if waits else 0.0
 
@@ -411,8 +418,8 @@
 
     def _probe_seconds(self) -> float:
         """Return the interval in seconds between probes of a failing store."""
-        waits = self.configured and not self._settings.preferred_coordinator
-        return FOLLOWER_PROBE_INTERVAL_SECONDS if waits else PROBE_INTERVAL_SECONDS
+        is_follower = self.configured and not self._settings.preferred_coordinator
+        return FOLLOWER_PROBE_INTERVAL_SECONDS if is_follower else PROBE_INTERVAL_SECONDS
 
     def _watch_seconds(self) -> float:
         if self.coordinating:
@@ -517,7 +524,7 @@
         self.jobs.local = self._term.jobs
 
     def end_term(self) -> None:
-        """Stop coordinating; called by the election."""
+        """Stop coordinating; called by the election and by :meth:`stop`."""
         term, self._term = self._term, None
         self.jobs.local = None
         self._quarantine.end_term()
--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -50,7 +50,8 @@
         neighbours: nodes that this node sends updates to.
         coordinates: whether this node is the coordinator, which decides on trials.
         directory: the servers that this node knows.
-        knows_routes: whether this node knows a configuration and the servers.
+        knows_routes_and_servers: returns whether this node knows a routing configuration and the
+            servers.
 
     Attributes:
         caught_up: set once this node has the crash records of the other nodes, or has known the
@@ -67,9 +68,9 @@
         neighbours: Callable[[], list[str]],
         coordinates: Callable[[], bool],
         directory: BackendDirectory,
-        knows_routes: Callable[[], bool],
+        knows_routes_and_servers: Callable[[], bool],
     ) -> None:
-        self._knows_routes = knows_routes
+        self._knows_routes_and_servers = knows_routes_and_servers
         self._network = network
         self._shard = shard
         self._store = store
@@ -144,7 +145,7 @@
         try:
             while not (done := [one for one in queries if one.ready()]):
                 now = steady_seconds()
-                if not self._knows_routes():
+                if not self._knows_routes_and_servers():
                     routes_unknown_at = now
                 elif now - routes_unknown_at >= CATCH_UP_TIMEOUT_SECONDS:
                     self.caught_up.set()
