--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -1,4 +1,8 @@
-"""Election and succession of the coordinator, with delays scaled to a tenth."""
+"""Election and succession of the coordinator.
+
+The delays named in :data:`SCALED` are a tenth of their usual values and the timeout of a watch is
+0.1 s; all other delays have their usual values unless a test sets them.
+"""
 
 import unittest
 from unittest import mock
@@ -135,11 +139,11 @@
         self._coordinator(nodes)
         self.assertEqual(len(self.terms), 1)
 
-    def test_preferred_node_comes_first(self):
+    def test_preferred_node_is_elected(self):
         nodes = [*self._nodes("edge-1", "edge-2", preferred=False), *self._nodes("disk-1")]
         self.assertEqual(self._coordinator(nodes).node_id, "disk-1")
 
-    def test_preferred_node_comes_first_also_after_all_have_restarted(self):
+    def test_preferred_node_is_elected_after_all_have_restarted(self):
         """A node that is not preferred must leave a silent coordinator to preferred ones."""
         content = {"node": "x", "address": "127.0.0.1:1", "zone": "zone", "epoch": 1}
         self.store.put(DocumentKind.COORDINATOR, "fleet", content)
@@ -149,7 +153,7 @@
             nodes += self._nodes("disk-1")
             self.assertEqual(self._coordinator(nodes).node_id, "disk-1")
 
-    def test_restarted_coordinator_reclaims_its_term(self):
+    def test_restarted_coordinator_is_elected_again(self):
         """Another node must not take over first: it would have to wait before its first order."""
         content = {"node": "b", "address": "127.0.0.1:1", "zone": "zone", "epoch": 1}
         self.store.put(DocumentKind.COORDINATOR, "fleet", content)
@@ -158,7 +162,7 @@
             self.assertEqual(self._coordinator(nodes).node_id, "b")
         self.assertEqual(self.terms, [("b", 2)])
 
-    def test_node_that_stops_or_lost_the_store_is_not_waited_for(self):
+    def test_takeover_delay_by_reported_state(self):
         silent = succession.takeover_delay_seconds(None)
         for reaches_store, expected in ((True, succession.RECLAIM_TIMEOUT_SECONDS), (False, 0.0)):
             pong = CoordinatorPong(False, 0, 0, reaches_store, [], 0, 0, [], 0)
@@ -177,7 +181,7 @@
         gevent.sleep(SETTLE_SECONDS)
         self.assertEqual(len(self.terms), 2, self.terms)
 
-    def test_nodes_cut_from_the_coordinator_query_witnesses_first(self):
+    def test_coordinator_that_witnesses_reach_is_not_replaced(self):
         """A cut between two nodes must not make them replace each other in turn."""
         nodes = [*self._nodes("a", "b"), *self._nodes("e", "f", preferred=False)]
         first = self._coordinator(nodes)
