--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -29,7 +29,7 @@
     """Response of an engine to an order."""
 
     ACCEPTED = "accepted"
-    IN_FORCE = "in_force"
+    ALREADY_APPLIED = "in_force"
     CONFLICT = "conflict"
     STALE_FENCE = "stale_fence"
     WRONG_SERVER = "wrong_server"
--- a/src/runkeel/coordination/version_rollout.py
+++ b/src/runkeel/coordination/version_rollout.py
@@ -267,7 +267,11 @@
                 outcome = self._order(state, model, version, report.sequence)
                 if outcome is EngineOrderOutcome.WRONG_SERVER:
                     state.record_call_failure()
-                if outcome not in (EngineOrderOutcome.ACCEPTED, EngineOrderOutcome.IN_FORCE, None):
+                if outcome not in (
+                    EngineOrderOutcome.ACCEPTED,
+                    EngineOrderOutcome.ALREADY_APPLIED,
+                    None,
+                ):
                     return
                 reached = self._await_version(state, model, version, outcome)
             else:
@@ -324,7 +328,7 @@
     def _await_version(
         self, state: BackendState, model: str, version: int, outcome: EngineOrderOutcome | None
     ) -> bool:
-        if outcome is EngineOrderOutcome.IN_FORCE:
+        if outcome is EngineOrderOutcome.ALREADY_APPLIED:
             return True
         started = steady_seconds()
         gevent.sleep(EXPECTED_LOAD_SECONDS)
