--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlainRequest:
+class ForwardedRequest:
     """A client's request to forward to a server.
 
     Attributes:
@@ -123,7 +123,7 @@
     """Encodes requests to back ends and parses their responses; does no I/O."""
 
     def encode_plain(
-        self, request: PlainRequest, backend: Backend, remaining_seconds: float
+        self, request: ForwardedRequest, backend: Backend, remaining_seconds: float
     ) -> OutgoingRequest:
         """Build the request that forwards a client's request."""
 
@@ -132,7 +132,7 @@
     ) -> OutgoingRequest:
         """Build the request that starts or resumes a generation."""
 
-    def score_request(self, request_id: str, host: str, path: str, body: bytes) -> PlainRequest:
+    def score_request(self, request_id: str, host: str, path: str, body: bytes) -> ForwardedRequest:
         """Build the request that scores an output."""
 
     def classify(
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -9,7 +9,7 @@
 from gevent.queue import Empty, Queue
 from loguru import logger
 
-from runkeel.api.backend_protocol import BackendProtocol, PlainRequest, ResponseClass
+from runkeel.api.backend_protocol import BackendProtocol, ForwardedRequest, ResponseClass
 from runkeel.api.fleet import Route
 from runkeel.backends.http_connection import HttpResponse
 from runkeel.clock import steady_seconds
@@ -57,7 +57,7 @@
 class _ForwardedRequest:
     """A request that is being forwarded, and the state of its attempts."""
 
-    request: PlainRequest
+    request: ForwardedRequest
     watched: WatchedRequest
     route: Route
     service: str
@@ -105,7 +105,7 @@
 
     def forward(
         self,
-        request: PlainRequest,
+        request: ForwardedRequest,
         route: Route,
         service: str,
         deadline: float,
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -9,7 +9,7 @@
 from gevent.event import Event
 from loguru import logger
 
-from runkeel.api.backend_protocol import BackendProtocol, PlainRequest, ResponseClass
+from runkeel.api.backend_protocol import BackendProtocol, ForwardedRequest, ResponseClass
 from runkeel.api.fleet import Route
 from runkeel.backends.http_connection import HttpResponseStream
 from runkeel.clock import steady_seconds
@@ -41,7 +41,7 @@
 class _Relay:
     """State of one client stream and its attempts."""
 
-    request: PlainRequest
+    request: ForwardedRequest
     watched: WatchedRequest
     route: Route
     service: str
@@ -78,7 +78,7 @@
         self._zone = zone
 
     def open(
-        self, request: PlainRequest, route: Route, service: str, deadline: float, gone: Event
+        self, request: ForwardedRequest, route: Route, service: str, deadline: float, gone: Event
     ) -> OpenedStream:
         """Return a stream once a server has sent its response headers.
 
--- a/src/runkeel/quarantine/fingerprint.py
+++ b/src/runkeel/quarantine/fingerprint.py
@@ -4,7 +4,7 @@
 
 import hashlib
 
-from runkeel.api.backend_protocol import GenerationRequest, PlainRequest
+from runkeel.api.backend_protocol import GenerationRequest, ForwardedRequest
 
 DIGEST_BYTES = 16
 """The probability of any collision among 1e9 requests is about 1e-21."""
@@ -26,7 +26,7 @@
     def __init__(self, secret: bytes) -> None:
         self._key = hashlib.blake2b(secret).digest()
 
-    def of_plain(self, request: PlainRequest) -> str:
+    def of_plain(self, request: ForwardedRequest) -> str:
         """Return the fingerprint of a client request or scorer call."""
         return self._digest(
             request.tenant, request.method, request.host, request.target, request.body
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -11,7 +11,7 @@
 import gevent
 from loguru import logger
 
-from runkeel.api.backend_protocol import PlainRequest
+from runkeel.api.backend_protocol import ForwardedRequest
 from runkeel.api.fleet import (
     Backend,
     Route,
@@ -90,7 +90,7 @@
 def measure_quarantine() -> list[DecisionCost]:
     """Measure the quarantine check; ``engines`` in the result is the number of records."""
     quarantine = Quarantine(b"decisions", lambda record: TrialAnswer(False))
-    request = PlainRequest("r", "POST", "/count/x", "host", (), _BODY, tenant="tenant")
+    request = ForwardedRequest("r", "POST", "/count/x", "host", (), _BODY, tenant="tenant")
 
     def check_quarantine() -> None:
         identify = partial(quarantine.fingerprinter.of_plain, request)
--- a/tests/gateway/test_burst.py
+++ b/tests/gateway/test_burst.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from runkeel.api.backend_protocol import PlainRequest
+from runkeel.api.backend_protocol import ForwardedRequest
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
 from runkeel.clock import steady_seconds
@@ -41,7 +41,7 @@
         )
 
     def send(self, number):
-        request = PlainRequest(f"r{number}", "POST", "/p", "h", (), b"")
+        request = ForwardedRequest(f"r{number}", "POST", "/p", "h", (), b"")
         deadline = steady_seconds() + 10.0
         return self.forwarder.forward(request, make_route(attempts=1), SERVICE, deadline)
 
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -5,7 +5,7 @@
 import gevent
 from gevent.event import Event
 
-from runkeel.api.backend_protocol import PlainRequest
+from runkeel.api.backend_protocol import ForwardedRequest
 from runkeel.api.fleet import Route, RouteKind, ServiceShare
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict
@@ -23,7 +23,7 @@
 )
 from tests.open_quarantine import open_quarantine
 
-REQUEST = PlainRequest("r", "POST", "/p", "h", (), b"", tenant="parish")
+REQUEST = ForwardedRequest("r", "POST", "/p", "h", (), b"", tenant="parish")
 
 
 def make_route(kind=RouteKind.REPEATABLE, attempts=3, target=10.0):
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -6,7 +6,7 @@
 import gevent
 from gevent.event import Event
 
-from runkeel.api.backend_protocol import PlainRequest
+from runkeel.api.backend_protocol import ForwardedRequest
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
 from runkeel.backends.http_connection import Reachability
@@ -107,7 +107,7 @@
 
     def test_other_requests_are_not_affected(self):
         self.hold()
-        other = PlainRequest("r", "POST", "/p", "h", (), b"", tenant="school")
+        other = ForwardedRequest("r", "POST", "/p", "h", (), b"", tenant="school")
         self.assertEqual(self.forward(make_route(), {"a": ScriptedPool(200)}, other).status, 200)
 
     def test_trial_is_sent_to_one_server_only(self):
--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_return_time.py
@@ -4,7 +4,7 @@
 
 import gevent
 
-from runkeel.api.backend_protocol import PlainRequest
+from runkeel.api.backend_protocol import ForwardedRequest
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway.backends import BASE_EJECTION_SECONDS
@@ -27,7 +27,7 @@
 from tests.gateway.test_forwarder import make_route
 from tests.open_quarantine import open_quarantine
 
-REQUEST = PlainRequest("r", "POST", "/p", "h", (), b"")
+REQUEST = ForwardedRequest("r", "POST", "/p", "h", (), b"")
 DRAWS = 50
 
 
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -3,10 +3,10 @@
 import unittest
 from dataclasses import replace
 
-from runkeel.api.backend_protocol import GenerationRequest, PlainRequest
+from runkeel.api.backend_protocol import GenerationRequest, ForwardedRequest
 from runkeel.quarantine.fingerprint import Fingerprinter
 
-PLAIN = PlainRequest("r", "POST", "/p?q=1", "h", (("A", "b"),), b"body", tenant="parish")
+PLAIN = ForwardedRequest("r", "POST", "/p?q=1", "h", (("A", "b"),), b"body", tenant="parish")
 
 
 class FingerprintTest(unittest.TestCase):
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from runkeel.api.backend_protocol import PlainRequest, ResponseClass
+from runkeel.api.backend_protocol import ForwardedRequest, ResponseClass
 from runkeel.api.documents import Document, DocumentKind
 from runkeel.api.fleet import Backend, RouteKind
 from runkeel.api.machines import Address
@@ -165,7 +165,7 @@
     protocol = ServerProtocol()
 
     def _plain(self, *headers, **more):
-        return PlainRequest("r", "POST", "/p?q=1", "h.example", headers, b"body", **more)
+        return ForwardedRequest("r", "POST", "/p?q=1", "h.example", headers, b"body", **more)
 
     def test_hop_by_hop_headers_are_not_forwarded(self):
         headers = (
