--- a/src/runkeel/api/documents.py
+++ b/src/runkeel/api/documents.py
@@ -26,7 +26,7 @@
 
     CURRENT = "current"
     """Reflects every write acknowledged before the read."""
-    ANY_AGE = "any_age"
+    STALE_ALLOWED = "any_age"
     """May be some seconds stale. Costs a tenth of a current read and is not rate-limited."""
 
 
--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -208,7 +208,7 @@
             else IDLE_PROBE_INTERVAL_SECONDS,
             # A stale list may name a replaced coordinator; a claim based on it is rejected by the
             # store, as it is conditional on the replaced revision.
-            first_list_freshness=Freshness.ANY_AGE,
+            first_list_freshness=Freshness.STALE_ALLOWED,
         )
         self._coordinator: Coordinator | None = None
         self._listeners: list[Callable[[], None]] = []
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -218,7 +218,7 @@
             self._on_routing_changed,
             watch_seconds=self._watch_seconds,
             store_needed=self._follower.store_needed,
-            first_list_freshness=Freshness.ANY_AGE,
+            first_list_freshness=Freshness.STALE_ALLOWED,
         )
         self._backend_watcher = DocumentWatcher(
             store,
@@ -229,7 +229,7 @@
             self._follower.store_needed,
             EXPIRED_BACKEND_GRACE_SECONDS,
             lambda: store.recovered_at,
-            first_list_freshness=Freshness.ANY_AGE,
+            first_list_freshness=Freshness.STALE_ALLOWED,
         )
         self._backend_watcher.on_unreadable(self._on_backend_unreadable)
         self._watchers = [self._routing_watcher, self._backend_watcher]
--- a/src/runkeel/state/immutable_documents.py
+++ b/src/runkeel/state/immutable_documents.py
@@ -25,7 +25,7 @@
     Raises:
         RunkeelError: the store did not respond.
     """
-    document = store.get(kind, name, timeout_seconds, Freshness.ANY_AGE)
+    document = store.get(kind, name, timeout_seconds, Freshness.STALE_ALLOWED)
     if document is not None:
         return document
     return store.get(kind, name, timeout_seconds)
--- a/src/runkeel_lab/standins/document_store.py
+++ b/src/runkeel_lab/standins/document_store.py
@@ -38,7 +38,7 @@
     Attributes:
         down: every call fails without being executed.
         call_seconds: added latency of every call, in seconds.
-        calls: number of calls by method name; reads with ``Freshness.ANY_AGE`` are counted
+        calls: number of calls by method name; reads with ``Freshness.STALE_ALLOWED`` are counted
             under the name with the suffix ``_any_age``.
     """
 
@@ -64,7 +64,7 @@
         self._faults.extend([fault] * times)
 
     def age(self) -> None:
-        """Serve all later reads with ``Freshness.ANY_AGE`` from a snapshot of the current state."""
+        """Serve all later reads with ``Freshness.STALE_ALLOWED`` from a snapshot of the current state."""
         self._stale_snapshot = self._revision, dict(self._documents)
 
     def compact(self) -> None:
--- a/src/runkeel_lab/users_platform/store_server.py
+++ b/src/runkeel_lab/users_platform/store_server.py
@@ -122,7 +122,7 @@
                 for change in changes.changes
             ]
             return 200, {"events": events, "at": changes.revision}
-        freshness = Freshness.ANY_AGE if query.get("stale") == "1" else Freshness.CURRENT
+        freshness = Freshness.STALE_ALLOWED if query.get("stale") == "1" else Freshness.CURRENT
         if name:
             document = self.objects.get(kind, name, freshness=freshness)
             return (404, None) if document is None else (200, _object(document))
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -51,7 +51,7 @@
             self.store,
             KIND,
             self._record_change,
-            first_list_freshness=Freshness.ANY_AGE,
+            first_list_freshness=Freshness.STALE_ALLOWED,
             watch_seconds=lambda: 0.2,
         )
         self.addCleanup(self.watcher.stop)
