--- a/src/runkeel/api/documents.py
+++ b/src/runkeel/api/documents.py
@@ -115,7 +115,7 @@
         self.current = current
 
 
-class HistoryLostError(RunkeelError):
+class HistoryDiscardedError(RunkeelError):
     """The store has discarded changes after the requested revision; list again."""
 
     def __init__(self, kind: DocumentKind, revision: int) -> None:
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -17,7 +17,7 @@
     DocumentPage,
     DocumentStore,
     Freshness,
-    HistoryLostError,
+    HistoryDiscardedError,
     UnreadableDocumentError,
 )
 from runkeel.clock import steady_seconds
@@ -213,7 +213,7 @@
                 )
             try:
                 self._step()
-            except HistoryLostError:
+            except HistoryDiscardedError:
                 self._list_due = True
             except RunkeelError as error:
                 self._on_failure(error)
--- a/src/runkeel/state/observed_store.py
+++ b/src/runkeel/state/observed_store.py
@@ -17,7 +17,7 @@
     DocumentList,
     DocumentStore,
     Freshness,
-    HistoryLostError,
+    HistoryDiscardedError,
 )
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
@@ -164,7 +164,7 @@
         """Record the outcome of a call; conflicts and lost history count as responses."""
         try:
             yield
-        except (DocumentConflictError, HistoryLostError):
+        except (DocumentConflictError, HistoryDiscardedError):
             self._on_response()
             raise
         except RunkeelError:
--- a/src/runkeel_lab/standins/document_store.py
+++ b/src/runkeel_lab/standins/document_store.py
@@ -18,7 +18,7 @@
     DocumentKind,
     DocumentList,
     Freshness,
-    HistoryLostError,
+    HistoryDiscardedError,
 )
 from runkeel.errors import ErrorCode, RunkeelError, may_have_run, not_run
 
@@ -176,7 +176,7 @@
 
     def _changes(self, kind: DocumentKind, revision: int) -> list[DocumentChange]:
         if revision < self._compacted:
-            raise HistoryLostError(kind, revision)
+            raise HistoryDiscardedError(kind, revision)
         return [
             change for at, change in self._history if at > revision and change.document.kind == kind
         ]
--- a/src/runkeel_lab/users_platform/store_server.py
+++ b/src/runkeel_lab/users_platform/store_server.py
@@ -11,7 +11,7 @@
 import gevent
 from gevent.pywsgi import WSGIServer
 
-from runkeel.api.documents import Document, DocumentConflictError, Freshness, HistoryLostError
+from runkeel.api.documents import Document, DocumentConflictError, Freshness, HistoryDiscardedError
 from runkeel.api.machines import Address
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
@@ -105,7 +105,7 @@
             return self._write(method, kind, unquote(name), part, body)
         except DocumentConflictError as conflict:
             return 409, None if conflict.current is None else _object(conflict.current)
-        except HistoryLostError:
+        except HistoryDiscardedError:
             return 410, None
         except RunkeelError:
             return 503, None
--- a/tests/coordination/expiry_machine.py
+++ b/tests/coordination/expiry_machine.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from runkeel.api.documents import Document, DocumentKind, DocumentPage, HistoryLostError
+from runkeel.api.documents import Document, DocumentKind, DocumentPage, HistoryDiscardedError
 from runkeel.clock import steady_seconds
 from runkeel.coordination.copy_comparison import MAX_DIFFERENCE_SECONDS, CopyComparison
 from runkeel.coordination.document_feed import DocumentFeed, json
@@ -61,7 +61,7 @@
     def read_store(self):
         try:
             self.watcher._step()
-        except HistoryLostError:
+        except HistoryDiscardedError:
             self.watcher._list_due = True
             self.watcher._step()
 
--- a/tests/coordination/feed_machine.py
+++ b/tests/coordination/feed_machine.py
@@ -14,7 +14,7 @@
     Document,
     DocumentKind,
     DocumentPage,
-    HistoryLostError,
+    HistoryDiscardedError,
 )
 from runkeel.clock import steady_seconds
 from runkeel.coordination import document_feed
@@ -102,7 +102,7 @@
         watcher = self.nodes[number].watcher
         try:
             changes = self.store.watch(KIND, watcher.revision, 0.0)
-        except HistoryLostError:
+        except HistoryDiscardedError:
             watcher._list_due = True
             watcher._step()
             return
