--- a/src/runkeel/api/documents.py
+++ b/src/runkeel/api/documents.py
@@ -194,7 +194,7 @@
         """
 
 
-class DocumentTranslator(Protocol):
+class DocumentParser(Protocol):
     """Parses documents owned by the operators and the platform.
 
     Every method raises an exception for an invalid document, UnreadableDocumentError where the
--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from runkeel.api.backend_protocol import BackendProtocol
-from runkeel.api.documents import Document, DocumentKind, DocumentStore, DocumentTranslator
+from runkeel.api.documents import Document, DocumentKind, DocumentStore, DocumentParser
 from runkeel.api.duties import DutyPlatform, UsageSettings
 from runkeel.coordination.election import Election
 from runkeel.coordination.order_lease import OrderLease
@@ -69,7 +69,7 @@
     node_id: str
     shard: str
     store: DocumentStore
-    translator: DocumentTranslator
+    translator: DocumentParser
     protocol: BackendProtocol
     network: PeerNetwork
     routing: RoutingTable
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -15,7 +15,7 @@
     Document,
     DocumentKind,
     DocumentStore,
-    DocumentTranslator,
+    DocumentParser,
     Freshness,
 )
 from runkeel.api.duties import DutyPlatform, UsageSettings
@@ -148,7 +148,7 @@
         self,
         settings: FleetSettings,
         store: DocumentStore,
-        translator: DocumentTranslator,
+        translator: DocumentParser,
         protocol: BackendProtocol,
         duties: DutyPlatform | None = None,
     ) -> None:
