--- a/src/runkeel/api/fleet.py
+++ b/src/runkeel/api/fleet.py
@@ -139,7 +139,7 @@
         return f"{self.backend_id}@{self.start}" if self.start else self.backend_id
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether new work may be sent to it."""
         return not self.draining and not self.unreadable
 
--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -213,7 +213,7 @@
             if state.backend.service != backend.service:
                 self._remove_from_service(state)
             state.backend = backend
-        if backend.takes_work:
+        if backend.accepts_work:
             self._add_to_service(state)
         else:
             self._remove_from_service(state)
--- a/src/runkeel/jobs/engine_placement.py
+++ b/src/runkeel/jobs/engine_placement.py
@@ -168,7 +168,7 @@
             return
         if not self._has_slot(engine):
             free.discard(engine.incarnation)
-        elif engine.backend.takes_work and self._directory.get(engine.backend_id) is engine:
+        elif engine.backend.accepts_work and self._directory.get(engine.backend_id) is engine:
             free.add(engine.incarnation, engine)
 
     def _has_slot(self, engine: BackendState) -> bool:
--- a/src/runkeel/runners/service.py
+++ b/src/runkeel/runners/service.py
@@ -152,7 +152,7 @@
         state = self._directory.find(message.backend_id)
         if state is None:
             return "unknown backend"
-        if not state.backend.takes_work:
+        if not state.backend.accepts_work:
             return "backend accepts no new work"
         run = HostedRun(
             message, state, self._protocol, self._scorer, self._quarantine, loading, on_ended
--- a/src/runkeel_lab/users_platform/servers_soak.py
+++ b/src/runkeel_lab/users_platform/servers_soak.py
@@ -123,4 +123,4 @@
             return False
         state = process.node.directory.get(server.server_id)
         present = state is not None and state.backend.start == str(server.born_ms)
-        return present and state.backend.takes_work and not state.avoided(steady_seconds())
+        return present and state.backend.accepts_work and not state.avoided(steady_seconds())
--- a/tests/gateway/starts_machine.py
+++ b/tests/gateway/starts_machine.py
@@ -84,4 +84,4 @@
         assert state.failures == self.failures
         assert state.avoided(steady_seconds()) == (self.ended or self.failures > 0)
         joined = state in self.directory.of_service("s")
-        assert joined == state.backend.takes_work
+        assert joined == state.backend.accepts_work
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -63,7 +63,7 @@
         self.put(started("2000"))
         self.assertFalse(self.put(started("1000", draining=True)))
         self.assertEqual(self.state().backend.start, "2000")
-        self.assertTrue(self.state().backend.takes_work)
+        self.assertTrue(self.state().backend.accepts_work)
         self.assertEqual(len(self.ended_states), 1)
 
     def test_number_of_previous_starts_is_bounded(self):
--- a/tests/users_platform/test_server_entries.py
+++ b/tests/users_platform/test_server_entries.py
@@ -103,7 +103,7 @@
         self.assertEqual(backend.address, Address("10.0.0.9", 8080))
         self.assertEqual((backend.start, backend.orders_taken), ("1764720000123", 4))
         self.assertEqual(backend.model_versions, {"x": 3})
-        self.assertTrue(backend.takes_work)
+        self.assertTrue(backend.accepts_work)
 
     def test_entry_without_start_time_is_usable(self):
         entry = {
@@ -111,7 +111,7 @@
         }
         backend = read(entry)
         self.assertEqual((backend.start, backend.orders_taken), ("", None))
-        self.assertTrue(backend.takes_work)
+        self.assertTrue(backend.accepts_work)
 
     def test_application_without_models(self):
         entry = {name: VALID_ENTRY[name] for name in REQUIRED_FIELDS}
