--- a/src/runkeel/api/fleet.py
+++ b/src/runkeel/api/fleet.py
@@ -130,7 +130,7 @@
     draining: bool = False
     model_versions: dict[str, int] = field(default_factory=dict)
     start: str = ""
-    orders_taken: int | None = None
+    orders_accepted: int | None = None
     unreadable: str = ""
 
     @property
@@ -149,4 +149,4 @@
 
 
 def _without_engine_state(backend: Backend) -> Backend:
-    return replace(backend, model_versions={}, orders_taken=None)
+    return replace(backend, model_versions={}, orders_accepted=None)
--- a/src/runkeel/gateway/server_starts.py
+++ b/src/runkeel/gateway/server_starts.py
@@ -26,7 +26,7 @@
 
     start: str
     address: Address
-    orders_taken: int | None
+    orders_accepted: int | None
     previous: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_PREVIOUS_STARTS))
 
     @property
@@ -38,7 +38,7 @@
         """Replace the current start by a new one."""
         self.previous.append(self.start)
         self.start = start
-        self.orders_taken = None
+        self.orders_accepted = None
 
 
 class IncarnationTracker:
@@ -57,7 +57,7 @@
         known = self._known.get(backend.backend_id)
         if known is None:
             self._known[backend.backend_id] = _ServerRecord(
-                backend.start, backend.address, backend.orders_taken
+                backend.start, backend.address, backend.orders_accepted
             )
             return backend
         if backend.start:
@@ -68,8 +68,8 @@
         elif _implies_new_start(known, backend):
             known.begin(f"{INFERRED_PREFIX}{revision}")
         known.address = backend.address
-        if backend.orders_taken is not None:
-            known.orders_taken = backend.orders_taken
+        if backend.orders_accepted is not None:
+            known.orders_accepted = backend.orders_accepted
         return replace(backend, start=known.start)
 
     def record_reported_start(self, backend: Backend, start: str) -> Backend | None:
@@ -87,7 +87,7 @@
         if start == known.start or start in known.previous:
             return None
         known.begin(start)
-        return replace(backend, start=start, model_versions={}, orders_taken=None)
+        return replace(backend, start=start, model_versions={}, orders_accepted=None)
 
     def forget(self, backend_id: str) -> None:
         """Remove a server id whose entry was deleted."""
@@ -99,7 +99,7 @@
 
     While a server runs, its count of orders never decreases and its address never changes.
     """
-    before, now = known.orders_taken, backend.orders_taken
+    before, now = known.orders_accepted, backend.orders_accepted
     orders_decreased = before is not None and now is not None and now < before
     return orders_decreased or backend.address != known.address
 
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -173,7 +173,7 @@
             "State": "draining" if self.draining else "ready",
             "Version": "v1",
             "ColdRemainingMs": 0,
-            "Sequence": self.orders_taken,
+            "Sequence": self.orders_accepted,
             "born": self.born_ms,
         }
 
@@ -183,7 +183,7 @@
         return self._entry()
 
     @property
-    def orders_taken(self) -> int:
+    def orders_accepted(self) -> int:
         """Number of orders that changed a weight version in this incarnation."""
         return 0
 
@@ -288,7 +288,7 @@
         self._busy = False
 
     @property
-    def orders_taken(self) -> int:
+    def orders_accepted(self) -> int:
         """Number of orders that changed a weight version in this incarnation."""
         return self._sequence
 
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_server_starts.py
@@ -21,7 +21,7 @@
 
 
 def started(at="", orders=None, address=ADDRESS, **more):
-    return Backend(NAME, SERVICE, address, "here", 8, start=at, orders_taken=orders, **more)
+    return Backend(NAME, SERVICE, address, "here", 8, start=at, orders_accepted=orders, **more)
 
 
 class ServerStartsTest(unittest.TestCase):
--- a/tests/users_platform/test_server_entries.py
+++ b/tests/users_platform/test_server_entries.py
@@ -101,7 +101,7 @@
         backend = read(VALID_ENTRY)
         self.assertEqual((backend.service, backend.slots, backend.zone), ("m", 8, "a"))
         self.assertEqual(backend.address, Address("10.0.0.9", 8080))
-        self.assertEqual((backend.start, backend.orders_taken), ("1764720000123", 4))
+        self.assertEqual((backend.start, backend.orders_accepted), ("1764720000123", 4))
         self.assertEqual(backend.model_versions, {"x": 3})
         self.assertTrue(backend.accepts_work)
 
@@ -110,7 +110,7 @@
             name: value for name, value in VALID_ENTRY.items() if name not in ("born", "Sequence")
         }
         backend = read(entry)
-        self.assertEqual((backend.start, backend.orders_taken), ("", None))
+        self.assertEqual((backend.start, backend.orders_accepted), ("", None))
         self.assertTrue(backend.accepts_work)
 
     def test_application_without_models(self):
