--- a/src/runkeel/api/fleet.py
+++ b/src/runkeel/api/fleet.py
@@ -143,7 +143,7 @@
         """Whether new work may be sent to it."""
         return not self.draining and not self.unreadable
 
-    def same_to_clients(self, other: Backend) -> bool:
+    def equals_except_engine_state(self, other: Backend) -> bool:
         """Return whether two states differ at most in model versions and accepted orders."""
         return _without_engine_state(self) == _without_engine_state(other)
 
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -448,7 +448,7 @@
         if previous is None or previous.incarnation != current.incarnation:
             self._quarantine.backend_joined(current)
         # Weight versions change often and only the coordinator uses them, so the feed omits them.
-        if previous is None or not previous.same_to_clients(current):
+        if previous is None or not previous.equals_except_engine_state(current):
             self._feed.record_change(document, removed)
 
     def _known_backend(self, backend_id: str) -> Backend | None:
