--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -132,7 +132,9 @@
     ) -> OutgoingRequest:
         """Build the request that starts or resumes a generation."""
 
-    def score_request(self, request_id: str, host: str, path: str, body: bytes) -> ForwardedRequest:
+    def encode_score_request(
+        self, request_id: str, host: str, path: str, body: bytes
+    ) -> ForwardedRequest:
         """Build the request that scores an output."""
 
     def classify(
--- a/src/runkeel/jobs/scorer.py
+++ b/src/runkeel/jobs/scorer.py
@@ -114,7 +114,7 @@
         self, call: ScorerCall, route: Route, service: str, deadline: float
     ) -> tuple[str, int, float]:
         """Return the stamp (empty: none), the failed attempts and the retry delay in seconds."""
-        request = self._protocol.score_request(
+        request = self._protocol.encode_score_request(
             call.request_id, call.host, call.path, base64.b64decode(call.body)
         )
         single = replace(route, maximum_attempts=1)
--- a/tests/jobs/test_scorer.py
+++ b/tests/jobs/test_scorer.py
@@ -23,7 +23,7 @@
 
 
 class ScorerProtocol(StatusProtocol):
-    def score_request(self, request_id, host, path, body):
+    def encode_score_request(self, request_id, host, path, body):
         return request_id
 
     def stamp(self, headers):
