--- a/src/runkeel/api/documents.py
+++ b/src/runkeel/api/documents.py
@@ -17,7 +17,7 @@
 CALL_TIMEOUT_SECONDS = 1.0
 """Default timeout of a call to the store."""
 
-MAXIMUM_CONTENT_BYTES = 800_000
+MAX_CONTENT_BYTES = 800_000
 """Largest content of a document as JSON, below the 1 MB limit of the platform's store."""
 
 
--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from runkeel.api.documents import MAXIMUM_CONTENT_BYTES, Document
+from runkeel.api.documents import MAX_CONTENT_BYTES, Document
 from runkeel.api.jobs import BatchJob, ItemResult, JobItem, ResultState, ScorerCall
 
 MAX_PART_BYTES = 128_000
@@ -72,7 +72,7 @@
     items = [_encode_item(item) for item in job.items]
     content = _encode_fields(job)
     parts = _split_into_parts(items)
-    if len(parts) * MAX_PART_BYTES <= MAXIMUM_CONTENT_BYTES:
+    if len(parts) * MAX_PART_BYTES <= MAX_CONTENT_BYTES:
         return EncodedJob(content | {"items": items}, {})
     names = [f"{part_prefix}{_SEGMENT_SEPARATOR}{number:03d}" for number in range(len(parts))]
     return EncodedJob(content | {"parts": names}, dict(zip(names, parts, strict=True)))
