--- a/src/runkeel_lab/standins/document_store.py
+++ b/src/runkeel_lab/standins/document_store.py
@@ -28,7 +28,7 @@
 
     DOWN = "down"
     """The write is not executed; the caller gets an error saying so."""
-    ANSWER_LOST = "answer_lost"
+    RESPONSE_LOST = "answer_lost"
     """The write is executed, but the caller gets an unknown-outcome error."""
 
 
@@ -205,7 +205,7 @@
         return fault
 
     def _raise_if_response_lost(self, fault: StoreFault | None) -> None:
-        if fault is StoreFault.ANSWER_LOST:
+        if fault is StoreFault.RESPONSE_LOST:
             raise may_have_run(ErrorCode.STORE_OUTCOME_UNKNOWN, "the response was lost")
 
     def _store(self, kind: DocumentKind, name: str, content: Any, status: Any = None) -> Document:
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -341,7 +341,7 @@
         self.network.silent.add(first.node_id)
         first.stop()
         others = [node for node in nodes if node is not first]
-        self.store.fail_next_write(StoreFault.ANSWER_LOST, 1)
+        self.store.fail_next_write(StoreFault.RESPONSE_LOST, 1)
         self._wait(lambda: any(node.coordinating for node in others))
         gevent.sleep(SETTLE_SECONDS)
         self.assertEqual([epoch for _, epoch in self.terms], [1, 2], self.terms)
--- a/tests/coordination/test_order_lease.py
+++ b/tests/coordination/test_order_lease.py
@@ -124,7 +124,7 @@
     def test_lost_answer_to_a_takeover_does_not_shorten_the_pause(self):
         first, second = self._lease("a"), self._lease("b")
         first.confirm()
-        self.store.fail_next_write(StoreFault.ANSWER_LOST)
+        self.store.fail_next_write(StoreFault.RESPONSE_LOST)
         with self.assertRaises(RunkeelError):
             second.confirm()
         self.clock.now += 1.0
@@ -153,7 +153,7 @@
         lease = self._lease("a")
         lease.confirm()
         self.clock.now += CONFIRMATION_REUSE_SECONDS + 0.01
-        self.store.fail_next_write(StoreFault.ANSWER_LOST)
+        self.store.fail_next_write(StoreFault.RESPONSE_LOST)
         with self.assertRaises(RunkeelError):
             lease.confirm()
         lease.confirm()
--- a/tests/jobs/test_job_service.py
+++ b/tests/jobs/test_job_service.py
@@ -123,7 +123,7 @@
         self.assertEqual(self.store.revision, revision)
 
     def test_job_is_accepted_when_the_reply_of_the_store_is_lost(self):
-        self.store.fail_next_write(StoreFault.ANSWER_LOST)
+        self.store.fail_next_write(StoreFault.RESPONSE_LOST)
         self.service.accept(make_job(), self._deadline())
         self.assertEqual(self.store.names(DocumentKind.JOB), [JOB_ID])
 
@@ -137,7 +137,7 @@
         self.assertLess(steady_seconds() - started, 2.0)
 
     def test_never_says_not_run_after_an_unknown_outcome(self):
-        self.store.fail_next_write(StoreFault.ANSWER_LOST)
+        self.store.fail_next_write(StoreFault.RESPONSE_LOST)
         self.store.fail_next_write(StoreFault.DOWN, times=50)
         with self.assertRaises(RunkeelError) as caught:
             self.service.accept(make_job(), self._deadline(0.15))
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -57,7 +57,7 @@
         self.assertIsNotNone(self.jobs.get(JOB_ID))
 
     def test_parts_are_written_again_after_lost_replies(self):
-        self.store.fail_next_write(StoreFault.ANSWER_LOST, times=2)
+        self.store.fail_next_write(StoreFault.RESPONSE_LOST, times=2)
         JobSubmission.of_job(self.store, make_large_job()).write()
         self.assertEqual(self.jobs.get(JOB_ID), make_large_job_like(self.jobs.get(JOB_ID)))
 
--- a/tests/usage/test_duty.py
+++ b/tests/usage/test_duty.py
@@ -155,7 +155,7 @@
         duty = self.duty(1)
         self.send_counts(duty, "x", {FIRST: {"a": 2}})
         self.wait_until(lambda: FIRST in self.stored().open)
-        self.store.fail_next_write(StoreFault.ANSWER_LOST, 2)
+        self.store.fail_next_write(StoreFault.RESPONSE_LOST, 2)
         self.now = (FIRST + 1) * 5.0 + 5.1
         self.wait_until(lambda: self.stored().decided_through >= FIRST)
         self.send_counts(duty, "x", {FIRST: {"a": 9}})
--- a/tests/usage/usage_machine.py
+++ b/tests/usage/usage_machine.py
@@ -27,7 +27,7 @@
 terms = strategies.integers(0, 2)
 """Number of terms since a coordinator was elected."""
 
-faults = strategies.sampled_from([None, None, StoreFault.DOWN, StoreFault.ANSWER_LOST])
+faults = strategies.sampled_from([None, None, StoreFault.DOWN, StoreFault.RESPONSE_LOST])
 
 
 class _Lease:
