--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -84,7 +84,7 @@
         self.ended = False
         self.crash_plan: CrashPlan | None = None
         self.born_ms = 0
-        self.heir: PlatformServer | None = None
+        self.next_incarnation: PlatformServer | None = None
         """The next incarnation under this id."""
         self.seed = seed
         self._store = store
@@ -130,7 +130,7 @@
 
     def _expire_entry(self) -> None:
         """Remove the entry, unless the next incarnation has written its own."""
-        if self.heir is None:
+        if self.next_incarnation is None:
             self._store.objects.remove("servers", self.server_id)
 
     def successor(self, number: int, keeps_id: bool = False) -> PlatformServer:
@@ -143,7 +143,7 @@
         server_id = f"{self.server_id.partition('.')[0]}.{number}"
         replacement = self._new_instance(self.server_id if keeps_id else server_id)
         if keeps_id:
-            self.heir = replacement
+            self.next_incarnation = replacement
             replacement.born_ms = self.born_ms
         replacement.crash_plan, replacement.faults = self.crash_plan, self.faults
         replacement.work_seconds, replacement.slots = self.work_seconds, self.slots
@@ -347,8 +347,8 @@
     def _execute_order_late(self, body: dict[str, Any], sent_at: float) -> None:
         """Execute an order at the incarnation that holds the id by now."""
         latest = self
-        while latest.heir is not None:
-            latest = latest.heir
+        while latest.next_incarnation is not None:
+            latest = latest.next_incarnation
         if not latest.ended:
             latest._execute_order(body, sent_at)
 
--- a/tests/users_platform/test_restarted_servers.py
+++ b/tests/users_platform/test_restarted_servers.py
@@ -37,8 +37,13 @@
     def restart(self, server):
         """Crash a server and return its new incarnation once it has started."""
         self.deployment.crash(server)
-        self.wait(lambda: server.heir is not None and server.heir.born_ms > server.born_ms)
-        return server.heir
+        self.wait(
+            lambda: (
+                server.next_incarnation is not None
+                and server.next_incarnation.born_ms > server.born_ms
+            )
+        )
+        return server.next_incarnation
 
     def known(self, server, name="edge-0"):
         state = self.node(name).directory.get(server.server_id)
@@ -50,7 +55,9 @@
         self.deployment.crash(server)
         for _ in range(5):
             self.status()
-        self.wait(lambda: server.heir is not None and self.known(server.heir))
+        self.wait(
+            lambda: server.next_incarnation is not None and self.known(server.next_incarnation)
+        )
         self.assertEqual([self.status(), self.status("edge-1")], [200, 200])
 
     def test_restarted_engines_receive_items(self):
