--- a/src/runkeel_lab/users_platform/crashes.py
+++ b/src/runkeel_lab/users_platform/crashes.py
@@ -38,7 +38,7 @@
         self.paths: set[str] = set()
         self.seconds = 0.02
         self.restart_seconds = 0.4
-        self.keeps_id = False
+        self.reuse_id = False
         self.reached: list[CrashEvent] = []
         self.ended: list[CrashEvent] = []
 
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -192,7 +192,7 @@
         self._successors += 1
         self.former_servers.append(server)
         servers = self.engines if server in self.engines else self.applications
-        after = server.successor(self._successors, self.crashes.keeps_id)
+        after = server.successor(self._successors, self.crashes.reuse_id)
         after.start()
         servers[servers.index(server)] = after
 
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -133,7 +133,7 @@
         if self.next_incarnation is None:
             self._store.objects.remove("servers", self.server_id)
 
-    def successor(self, number: int, keeps_id: bool = False) -> PlatformServer:
+    def successor(self, number: int, reuse_id: bool = False) -> PlatformServer:
         """Return a replacement for this server, not yet started, at the same address.
 
         Args:
@@ -141,8 +141,8 @@
             keeps_id: whether the replacement is the next incarnation under this id.
         """
         server_id = f"{self.server_id.partition('.')[0]}.{number}"
-        replacement = self._new_instance(self.server_id if keeps_id else server_id)
-        if keeps_id:
+        replacement = self._new_instance(self.server_id if reuse_id else server_id)
+        if reuse_id:
             self.next_incarnation = replacement
             replacement.born_ms = self.born_ms
         replacement.crash_plan, replacement.faults = self.crash_plan, self.faults
--- a/src/runkeel_lab/users_platform/servers_soak.py
+++ b/src/runkeel_lab/users_platform/servers_soak.py
@@ -50,7 +50,7 @@
 
     def _start_tasks(self, end: float) -> list[gevent.Greenlet]:
         self._honeypot.start()
-        self._deployment.crashes.keeps_id = True
+        self._deployment.crashes.reuse_id = True
         return [*super()._start_tasks(end), gevent.spawn(self._monitor_directories, end)]
 
     def _monitor_directories(self, end: float) -> None:
@@ -76,7 +76,7 @@
 
     def _change_id_reuse(self, rng: random.Random) -> None:
         """Choose at random whether later replacements keep the id of the crashed server."""
-        self._deployment.crashes.keeps_id = rng.random() < 0.7
+        self._deployment.crashes.reuse_id = rng.random() < 0.7
 
     def _write_invalid_entries(self, rng: random.Random) -> None:
         """Write invalid entries under new names and over the entry of a running server."""
--- a/tests/users_platform/test_restarted_servers.py
+++ b/tests/users_platform/test_restarted_servers.py
@@ -15,13 +15,13 @@
 
     def setUp(self):
         super().setUp()
-        self.plan.keeps_id = True
+        self.plan.reuse_id = True
 
 
 class RestartedServerTest(DeploymentTestCase):
     def setUp(self):
         self.deployment = self.start(edges=2, disks=1, engines=2, applications=1, metrics=True)
-        self.deployment.crashes.keeps_id = True
+        self.deployment.crashes.reuse_id = True
         self.wait(lambda: all(self.node(name).follows_feed for name in ("edge-0", "edge-1")))
         self.sent = 0
 
