--- a/src/runkeel_lab/users_platform/crash_soak.py
+++ b/src/runkeel_lab/users_platform/crash_soak.py
@@ -105,7 +105,7 @@
     def _check_crashing_requests(self) -> None:
         plan = self._deployment.crashes
         for path in sorted(plan.paths):
-            late = plan.reached_late(path, PROPAGATION_SECONDS)
+            late = plan.count_late_runs(path, PROPAGATION_SECONDS)
             if late > MAX_LATE_RUNS:
                 ends = sum(1 for event in plan.ended if event.path == path)
                 self._report_violation(f"{path}: {late} servers reached late, {ends} ended in all")
--- a/src/runkeel_lab/users_platform/crashes.py
+++ b/src/runkeel_lab/users_platform/crashes.py
@@ -55,7 +55,7 @@
         self.ended.append(CrashEvent(steady_seconds(), path, server.server_id))
         self._on_ended(server)
 
-    def reached_late(self, path: str, seconds: float, ends: int = 3) -> int:
+    def count_late_runs(self, path: str, seconds: float, ends: int = 3) -> int:
         """Count the runs started more than ``seconds`` after the ``ends``-th crash."""
         of_path = [event.at for event in self.ended if event.path == path]
         if len(of_path) < ends:
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -53,7 +53,9 @@
 
     def check_reached(self, target):
         self.assertGreaterEqual(len(self.plan.ended), 3)
-        self.assertLessEqual(self.plan.reached_late(target, PROPAGATION_SECONDS), MAX_LATE_SERVERS)
+        self.assertLessEqual(
+            self.plan.count_late_runs(target, PROPAGATION_SECONDS), MAX_LATE_SERVERS
+        )
 
     def test_repeatable_request(self):
         target = f"{COUNT_PREFIX}crash"
