--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -218,7 +218,7 @@
         """Return the process on a machine, or None while it is down."""
         return self._machines[name].process
 
-    def store_of(self, name: str) -> StoreServer:
+    def store_endpoint(self, name: str) -> StoreServer:
         """Return a machine's own store endpoint, for faults that affect only this machine."""
         return self._machines[name].store
 
--- a/src/runkeel_lab/users_platform/operations_soak.py
+++ b/src/runkeel_lab/users_platform/operations_soak.py
@@ -236,7 +236,7 @@
             gevent.spawn_later(rng.uniform(*ENTRY_REWRITE_SECONDS), self._write_entry, server)
 
     def _restore_store_gradually(self, rng: random.Random) -> None:
-        endpoints = [self._deployment.store_of(name) for name in self._deployment.node_names]
+        endpoints = [self._deployment.store_endpoint(name) for name in self._deployment.node_names]
         for endpoint in endpoints:
             endpoint.refused = True
             gevent.spawn_later(rng.uniform(0.0, 0.6), setattr, endpoint, "refused", False)
@@ -249,7 +249,7 @@
 
     def _refuse_machine(self, rng: random.Random) -> None:
         """Make the store refuse one machine while it serves the others."""
-        endpoint = self._deployment.store_of(rng.choice(self._deployment.node_names))
+        endpoint = self._deployment.store_endpoint(rng.choice(self._deployment.node_names))
         endpoint.refused = True
         gevent.spawn_later(rng.uniform(0.5, 3.0), setattr, endpoint, "refused", False)
 
--- a/tests/users_platform/test_cut_zone.py
+++ b/tests/users_platform/test_cut_zone.py
@@ -53,13 +53,13 @@
     def start_partition(self):
         self.cut = True
         for name in self.deployment.node_names:
-            self.deployment.store_of(name).refused = self.is_inside(name)
+            self.deployment.store_endpoint(name).refused = self.is_inside(name)
         gevent.sleep(0.5)
 
     def end_partition(self):
         self.cut = False
         for name in self.deployment.node_names:
-            self.deployment.store_of(name).refused = False
+            self.deployment.store_endpoint(name).refused = False
 
     def read_status(self, edge, job_id):
         response = self.deployment.call(edge, "GET", f"/runkeel/lots/{job_id}?AfterRevision=0")
--- a/tests/users_platform/test_deployment.py
+++ b/tests/users_platform/test_deployment.py
@@ -206,7 +206,7 @@
         deployment = self.start(applications=3)
         gevent.sleep(1.5)
         for name in deployment.edge_names:
-            inject_fault(deployment.store_of(name))
+            inject_fault(deployment.store_endpoint(name))
         server = deployment.applications[0]
         server.drain()
         nodes = [deployment.node(name).node for name in deployment.edge_names]
@@ -229,7 +229,7 @@
         deployment = self.start(applications=3, disks=1)
         gevent.sleep(1.5)
         (coordinator,) = deployment.coordinators()
-        deployment.store_of(coordinator).silent = True
+        deployment.store_endpoint(coordinator).silent = True
         server = deployment.applications[0]
         server.drain()
         nodes = [deployment.node(name).node for name in deployment.edge_names]
--- a/tests/users_platform/test_lapsed_servers.py
+++ b/tests/users_platform/test_lapsed_servers.py
@@ -48,7 +48,7 @@
     def restore_store_access(self, *names):
         """End the outage for the named nodes only."""
         for name in self.deployment.node_names:
-            self.deployment.store_of(name).refused = name not in names
+            self.deployment.store_endpoint(name).refused = name not in names
         self.deployment.store.refused = False
 
     def end_outage_at_edge(self):
--- a/tests/users_platform/test_store_outage.py
+++ b/tests/users_platform/test_store_outage.py
@@ -121,7 +121,7 @@
 
     def test_edge_node_refused_by_the_store_accepts_through_others(self):
         deployment = self.start_with_known_storage(disks=3)
-        deployment.store_of("edge-0").refused = True
+        deployment.store_endpoint("edge-0").refused = True
         gevent.sleep(0.5)
         items = self.items("o5")
         self.assertEqual(deployment.submit("edge-0", "o5", items), 202)
