--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -272,7 +272,7 @@
     def _publish_version(self, version: int) -> None:
         """Publish a version, as a trainer does, and wait until an engine has loaded it."""
         started = steady_seconds()
-        self._deployment.name_version(version)
+        self._deployment.publish_version(version)
 
         def engines_at_version() -> int:
             return sum(one.versions[MODEL] == version for one in self._deployment.engines)
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -200,7 +200,7 @@
         """Write a configuration to the store, as an operator does."""
         self.store.objects.put("config", "main", content)
 
-    def name_version(self, version: int, model: str = MODEL) -> None:
+    def publish_version(self, version: int, model: str = MODEL) -> None:
         """Publish a weight version in the store, as a trainer does."""
         self.store.objects.put("versions", model, {"Model": model, "Version": version})
 
--- a/src/runkeel_lab/users_platform/faults.py
+++ b/src/runkeel_lab/users_platform/faults.py
@@ -40,7 +40,7 @@
             "compact": lambda event: self._deployment.store.objects.compact(),
             "server": self._degrade_server,
             "orders": self._drop_order_responses,
-            "version": lambda event: self._deployment.name_version(event.details["version"]),
+            "version": lambda event: self._deployment.publish_version(event.details["version"]),
         }
 
     def draw(self, rng: random.Random, at: float) -> TraceEvent:
--- a/tests/runners/test_remote_runs.py
+++ b/tests/runners/test_remote_runs.py
@@ -127,7 +127,7 @@
         items = self.long_items("j5", 8)
         deployment.submit("edge-0", "j5", items)
         self.wait(lambda: sum(self.hosted(deployment).values()))
-        deployment.name_version(2)
+        deployment.publish_version(2)
         self.wait(lambda: all(e.versions["allocation"] == 2 for e in deployment.engines))
         self.check_job(deployment, "j5", items)
 
--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -88,7 +88,7 @@
 
     def test_engines_load_the_named_version_and_results_list_it(self):
         deployment = self.start()
-        deployment.name_version(2)
+        deployment.publish_version(2)
         self.wait(lambda: all(e.versions["allocation"] == 2 for e in deployment.engines))
         items = self.items("j3", 8)
         deployment.submit("edge-0", "j3", items, minimum_version=2)
@@ -102,7 +102,7 @@
         items = [f"j4-g{n}-{n}" for n in range(60) if event_count(f"j4-g{n}-{n}") > 20][:2]
         deployment.submit("edge-0", "j4", items)
         self.wait(lambda: deployment.engines[0].running)
-        deployment.name_version(2)
+        deployment.publish_version(2)
         results = self.wait_for_results(deployment, "edge-0", "j4", len(items))
         self.check_results(results, items)
         self.assertIn([1, 2], [result["WeightVersions"] for result in results])
@@ -203,10 +203,10 @@
 
     def test_one_order_holder_at_a_time(self):
         deployment = self.start(disks=2, order_pause_seconds=0.5)
-        deployment.name_version(2)
+        deployment.publish_version(2)
         self.wait(lambda: all(e.versions["allocation"] == 2 for e in deployment.engines))
         deployment.kill_node(deployment.coordinators()[0])
-        deployment.name_version(3)
+        deployment.publish_version(3)
         self.wait(lambda: all(e.versions["allocation"] == 3 for e in deployment.engines))
         for engine in deployment.engines:
             for before, after in zip(engine.orders, engine.orders[1:], strict=False):
--- a/tests/users_platform/test_operator_queries.py
+++ b/tests/users_platform/test_operator_queries.py
@@ -39,7 +39,7 @@
         self.assertEqual((route["kind"], route["attempts"]), ("not_repeatable", 3))
 
     def test_jobs_and_versions_tables_on_the_coordinator(self):
-        self.deployment.name_version(2)
+        self.deployment.publish_version(2)
         self.assertEqual(self.deployment.submit("edge-0", "job", ["job-g0-0"]), 202)
         query = 'show jobs where job = "job"'
         (job,) = self.wait(lambda: self.rows(query, self.coordinator))
--- a/tests/users_platform/test_restarted_servers.py
+++ b/tests/users_platform/test_restarted_servers.py
@@ -84,7 +84,7 @@
 
     def test_engine_restarted_with_an_older_version_is_updated(self):
         engine = self.deployment.engines[0]
-        self.deployment.name_version(2)
+        self.deployment.publish_version(2)
         self.wait(lambda: set(engine.versions.values()) == {2})
         engine.versions = dict.fromkeys(engine.versions, 1)
         restarted = self.restart(engine)
