--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -21,7 +21,7 @@
     Deployment,
     configuration,
     tenant,
-    with_key,
+    key_header,
 )
 from runkeel_lab.users_platform.servers import event_count, whole_text
 
@@ -101,7 +101,7 @@
     def _send(self, edge: str, prefix: str, request_id: str, key: str = KITCHEN_KEY) -> int:
         """Send a request; return the status, 0 without a response or with a wrong body."""
         started = steady_seconds()
-        headers = {"Attempt-Id": request_id} | _DEADLINE | with_key(key)
+        headers = {"Attempt-Id": request_id} | _DEADLINE | key_header(key)
         response = self._deployment.call(
             edge, "POST", f"{prefix}rice", headers, request_id.encode()
         )
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -309,7 +309,7 @@
             "DesiredCount": 1,
             "Items": [_item(item_id, item_headers or {}) for item_id in items],
         }
-        headers = {"Attempt-Id": job_id, "Content-Type": "application/json", **with_key(key)}
+        headers = {"Attempt-Id": job_id, "Content-Type": "application/json", **key_header(key)}
         response = self.call(
             edge, "POST", f"{DRAFT_PREFIX}{job_id}", headers, json.dumps(body).encode()
         )
@@ -320,14 +320,14 @@
     ) -> list[dict[str, Any]] | None:
         """Return a job's results, or None unless the response has status 200."""
         target = f"/runkeel/lots/{job_id}?AfterRevision={position}"
-        response = self.call(edge, "GET", target, {"Wait-Ms": "200", **with_key(key)})
+        response = self.call(edge, "GET", target, {"Wait-Ms": "200", **key_header(key)})
         if response is None or response.status != 200:
             return None
         return json.loads(response.body)["Results"]
 
     def end(self, edge: str, job_id: str, key: str = "") -> int:
         """End a job; return the HTTP status, 0 without a response."""
-        response = self.call(edge, "DELETE", f"/runkeel/lots/{job_id}", with_key(key))
+        response = self.call(edge, "DELETE", f"/runkeel/lots/{job_id}", key_header(key))
         return response.status if response is not None else 0
 
     def _add_machine(self, name: str, zone: str, serves_clients: bool) -> None:
@@ -359,7 +359,7 @@
         self._machines[name] = _Machine(settings, store)
 
 
-def with_key(key: str) -> dict[str, str]:
+def key_header(key: str) -> dict[str, str]:
     """Return the header that carries an API key; empty for an empty key."""
     return {"Authorization": f"Bearer {key}"} if key else {}
 
--- a/tests/users_platform/test_operator_queries.py
+++ b/tests/users_platform/test_operator_queries.py
@@ -11,7 +11,7 @@
 from runkeel.operators.client import OperatorClient
 from runkeel.operators.ctl import ExitCode, run_ctl
 from runkeel.operators.fleet_commands import DRY_RUN
-from runkeel_lab.users_platform.deployment import tenant, with_key
+from runkeel_lab.users_platform.deployment import tenant, key_header
 from tests.users_platform.deployment_case import DeploymentTestCase
 
 
@@ -136,7 +136,7 @@
                 {"tenant": "school", "rank": None, "keys": 1},
             ],
         )
-        headers = {"Attempt-Id": "q", **with_key("s")}
+        headers = {"Attempt-Id": "q", **key_header("s")}
         self.assertEqual(
             self.deployment.call("edge-0", "POST", "/count/x", headers, b"b").status, 200
         )
--- a/tests/users_platform/test_tenants.py
+++ b/tests/users_platform/test_tenants.py
@@ -10,7 +10,7 @@
     SCORE_PREFIX,
     configuration,
     tenant,
-    with_key,
+    key_header,
 )
 from tests.users_platform.deployment_case import DeploymentTestCase
 
@@ -39,14 +39,14 @@
             {},
             {"Authorization": ""},
             {"Authorization": f"Basic {PARISH_KEY}"},
-            with_key("unknown"),
+            key_header("unknown"),
         ):
             response = self.count(deployment, headers)
             self.assertEqual(response.status, 401, headers)
             self.assertEqual(json.loads(response.body)["code"], "unauthorized")
             self.assertEqual(json.loads(response.body)["verdict"], "not_run")
         self.assertEqual(self.runs(deployment, "r"), [])
-        response = self.count(deployment, with_key(PARISH_SECOND_KEY), "known")
+        response = self.count(deployment, key_header(PARISH_SECOND_KEY), "known")
         self.assertEqual(response.status, 200)
         (run,) = self.runs(deployment, "known")
         self.assertEqual(run.headers["tenant"], "parish")
@@ -57,7 +57,7 @@
         response = self.count(deployment, {"Tenant": "school"}, "open", SCORE_PREFIX)
         self.assertEqual(response.status, 200)
         self.assertEqual(self.count(deployment, {}, "closed").status, 401)
-        response = self.count(deployment, with_key(PARISH_KEY), "keyed", SCORE_PREFIX)
+        response = self.count(deployment, key_header(PARISH_KEY), "keyed", SCORE_PREFIX)
         self.assertEqual(response.status, 200)
         for request_id in ("open", "keyed"):
             (run,) = self.runs(deployment, request_id)
@@ -67,7 +67,7 @@
     def test_client_cannot_name_its_tenant(self):
         deployment = self.start(tenants=TENANTS)
         for number, name in enumerate(("Tenant", "tenant", "TENANT")):
-            headers = {name: "school", **with_key(PARISH_KEY)}
+            headers = {name: "school", **key_header(PARISH_KEY)}
             self.assertEqual(self.count(deployment, headers, f"n{number}").status, 200)
             (run,) = self.runs(deployment, f"n{number}")
             self.assertEqual(run.headers["tenant"], "parish")
@@ -106,10 +106,10 @@
         body = f"/runkeel/items/t2?Id={items[0]}"
         for edge in deployment.edge_names:
             for method, target in (("GET", read), ("GET", body), ("DELETE", "/runkeel/lots/t2")):
-                other = deployment.call(edge, method, target, with_key(SCHOOL_KEY))
+                other = deployment.call(edge, method, target, key_header(SCHOOL_KEY))
                 anonymous = deployment.call(edge, method, target)
                 absent = deployment.call(
-                    edge, method, target.replace("t2", "none"), with_key(SCHOOL_KEY)
+                    edge, method, target.replace("t2", "none"), key_header(SCHOOL_KEY)
                 )
                 self.assertEqual((other.status, anonymous.status), (404, 401), target)
                 self.assertEqual(other.body, absent.body)
@@ -129,15 +129,15 @@
         self.assertEqual(deployment.submit("edge-0", "t3", items, key=PARISH_KEY), 202)
         changed = (tenant("parish", PARISH_SECOND_KEY), tenant("school", SCHOOL_KEY))
         deployment.configure(configuration(2, tenants=changed))
-        self.wait(lambda: self.count(deployment, with_key(PARISH_KEY)).status == 401)
+        self.wait(lambda: self.count(deployment, key_header(PARISH_KEY)).status == 401)
         self.wait(lambda: len(deployment.results("edge-0", "t3", key=PARISH_SECOND_KEY)) == 8)
         self.assertEqual(deployment.end("edge-0", "t3", key=PARISH_SECOND_KEY), 200)
 
     def test_each_request_of_a_connection_is_authenticated(self):
         deployment = self.start(tenants=TENANTS)
-        self.assertEqual(self.count(deployment, with_key(SCHOOL_KEY)).status, 200)
+        self.assertEqual(self.count(deployment, key_header(SCHOOL_KEY)).status, 200)
         deployment.configure(configuration(2, tenants=(tenant("parish", PARISH_KEY),)))
-        self.wait(lambda: self.count(deployment, with_key(SCHOOL_KEY)).status == 401)
+        self.wait(lambda: self.count(deployment, key_header(SCHOOL_KEY)).status == 401)
 
     def test_items_keep_their_tenant_after_coordinator_failover(self):
         deployment = self.start(disks=2, tenants=TENANTS)
@@ -160,7 +160,7 @@
         headers = {"Authorization": f"Bearer {PARISH_KEY}"}
         deployment.submit("edge-0", "t5", items, key=PARISH_KEY, item_headers=headers)
         self.wait(lambda: len(deployment.results("edge-1", "t5", key=PARISH_KEY) or ()) == 4)
-        self.count(deployment, with_key(SCHOOL_KEY + "x"))
+        self.count(deployment, key_header(SCHOOL_KEY + "x"))
         stored = [
             json.dumps(one.content)
             for one in deployment.store.objects.everything()
--- a/tests/users_platform/test_usage.py
+++ b/tests/users_platform/test_usage.py
@@ -4,7 +4,7 @@
 import unittest
 
 from runkeel.api.duties import UsageSettings
-from runkeel_lab.users_platform.deployment import COUNT_PREFIX, tenant, with_key
+from runkeel_lab.users_platform.deployment import COUNT_PREFIX, tenant, key_header
 from tests.users_platform.deployment_case import DeploymentTestCase
 
 TENANTS = (tenant("parish", "p"), tenant("school", "s"))
@@ -13,7 +13,7 @@
 
 class UsageTest(DeploymentTestCase):
     def send(self, deployment, edge, key, number):
-        headers = {"Attempt-Id": f"u{number}", **with_key(key)}
+        headers = {"Attempt-Id": f"u{number}", **key_header(key)}
         response = deployment.call(edge, "POST", f"{COUNT_PREFIX}x", headers, b"b")
         return response is not None and response.status == 200
 
