--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -23,7 +23,7 @@
     tenant,
     key_header,
 )
-from runkeel_lab.users_platform.servers import event_count, whole_text
+from runkeel_lab.users_platform.servers import event_count, complete_output
 
 SEED = 1
 STEPS = 3
@@ -195,7 +195,7 @@
         finally:
             self._deployment.store.refused = False
         results = self._wait_for_results("outage", len(items))
-        complete = sum(result.get("Text") == whole_text(result["Id"]) for result in results)
+        complete = sum(result.get("Text") == complete_output(result["Id"]) for result in results)
         detail = f"status {status}, {complete} of {len(items)} whole once it was back"
         self._check(
             "a job is taken while the store is away", status == 202 and complete == 8, detail
@@ -261,7 +261,7 @@
         problems = []
         for result in results:
             name = result["Id"]
-            if result.get("Text") != whole_text(name):
+            if result.get("Text") != complete_output(name):
                 problems.append(f"{name}: text is not whole")
             if result.get("WeightVersions") != [version]:
                 problems.append(f"{name}: versions {result.get('WeightVersions')}, not {version}")
@@ -308,7 +308,7 @@
         self._deployment.kill_node(victim)
         self._chart.add_mark(f"{victim} dies")
         results = self._wait_for_results("last", len(items))
-        complete = sum(result.get("Text") == whole_text(result["Id"]) for result in results)
+        complete = sum(result.get("Text") == complete_output(result["Id"]) for result in results)
         resumed = sum(
             bool(run.resumed_after) for engine in self._deployment.engines for run in engine.runs
         )
--- a/src/runkeel_lab/users_platform/replay.py
+++ b/src/runkeel_lab/users_platform/replay.py
@@ -16,7 +16,7 @@
 from runkeel.clock import steady_seconds
 from runkeel_lab.users_platform.deployment import RESERVE_PREFIX, Deployment
 from runkeel_lab.users_platform.faults import Faults
-from runkeel_lab.users_platform.servers import whole_text
+from runkeel_lab.users_platform.servers import complete_output
 from runkeel_lab.users_platform.trace import COMPLETED, Trace, TraceEvent, read_trace
 
 _SEED = 1
@@ -111,7 +111,7 @@
         if sorted(result["Id"] for result in results) != sorted(items):
             self.violations.append(f"{job_id}: items {[one['Id'] for one in results]}")
         for result in results:
-            if result["State"] == COMPLETED and result["Text"] != whole_text(result["Id"]):
+            if result["State"] == COMPLETED and result["Text"] != complete_output(result["Id"]):
                 self.violations.append(f"{result['Id']}: text {result['Text']!r}")
 
     def _check_requests(self) -> None:
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -420,6 +420,6 @@
     return generator.randint(3, 12) if generator.random() < 0.9 else generator.randint(30, 60)
 
 
-def whole_text(request_id: str) -> str:
+def complete_output(request_id: str) -> str:
     """Return the complete output of a generation."""
     return "\n".join(f"{request_id}:{n}" for n in range(1, event_count(request_id) + 1))
--- a/src/runkeel_lab/users_platform/soak.py
+++ b/src/runkeel_lab/users_platform/soak.py
@@ -22,7 +22,7 @@
 from runkeel.clock import steady_seconds
 from runkeel_lab.users_platform.deployment import COUNT_PREFIX, RESERVE_PREFIX, Deployment
 from runkeel_lab.users_platform.faults import Faults
-from runkeel_lab.users_platform.servers import whole_text
+from runkeel_lab.users_platform.servers import complete_output
 from runkeel_lab.users_platform.trace import COMPLETED, REFUSED, Trace, TraceEvent, write_trace
 
 _JOB_INTERVAL_SECONDS = 1.0
@@ -192,7 +192,7 @@
                 self._report.failed_items += 1
                 continue
             self._report.completed_items += 1
-            if result["Text"] != whole_text(result["Id"]):
+            if result["Text"] != complete_output(result["Id"]):
                 self._report_violation(f"{result['Id']}: text {result['Text']!r}")
             if not result.get("Score", "").endswith(f".score-{result['Id']}"):
                 self._report_violation(f"{result['Id']}: score {result.get('Score')!r}")
--- a/tests/runners/test_remote_runs.py
+++ b/tests/runners/test_remote_runs.py
@@ -9,7 +9,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.runners import pool
 from runkeel_lab.users_platform.deployment import Deployment
-from runkeel_lab.users_platform.servers import event_count, whole_text
+from runkeel_lab.users_platform.servers import event_count, complete_output
 
 WAIT_TIMEOUT_SECONDS = 30.0
 
@@ -66,7 +66,7 @@
 
         for result in self.wait(read):
             self.assertEqual(result["State"], "completed")
-            self.assertEqual(result["Text"], whole_text(result["Id"]))
+            self.assertEqual(result["Text"], complete_output(result["Id"]))
             self.assertTrue(result["Score"].endswith(f".score-{result['Id']}"))
 
     def test_other_nodes_run_the_items(self):
--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -6,7 +6,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.coordination.election import STORAGE_NODES_SETTLE_SECONDS
-from runkeel_lab.users_platform.servers import event_count, whole_text
+from runkeel_lab.users_platform.servers import event_count, complete_output
 from tests.users_platform.deployment_case import DeploymentTestCase
 
 
@@ -18,7 +18,7 @@
         self.assertEqual(sorted(result["Id"] for result in results), sorted(items))
         for result in results:
             self.assertEqual(result["State"], "completed")
-            self.assertEqual(result["Text"], whole_text(result["Id"]))
+            self.assertEqual(result["Text"], complete_output(result["Id"]))
             self.assertTrue(result["Score"].endswith(f".score-{result['Id']}"))
             self.assertTrue(result["WeightVersions"])
 
--- a/tests/users_platform/test_deployment.py
+++ b/tests/users_platform/test_deployment.py
@@ -12,7 +12,7 @@
     configuration,
     route,
 )
-from runkeel_lab.users_platform.servers import whole_text
+from runkeel_lab.users_platform.servers import complete_output
 from tests.users_platform.deployment_case import DeploymentTestCase
 
 
@@ -137,14 +137,14 @@
     def test_stream_is_forwarded(self):
         deployment = self.start()
         response = self.stream(deployment, "s1")
-        self.assertEqual(self.data(response), whole_text("s1"))
+        self.assertEqual(self.data(response), complete_output("s1"))
 
     def test_broken_stream_resumes_at_another_engine(self):
         deployment = self.start()
         deployment.engines[0].faults.lost_share = 1.0
         for number in range(4):
             response = self.stream(deployment, f"s{number}")
-            self.assertEqual(self.data(response), whole_text(f"s{number}"))
+            self.assertEqual(self.data(response), complete_output(f"s{number}"))
         resumed = [run for run in deployment.engines[1].runs if run.resumed_after]
         self.assertTrue(resumed)
 
@@ -155,7 +155,7 @@
         for number in range(4):
             response = self.stream(deployment, f"t{number}")
             if response is not None:
-                self.assertEqual(self.data(response), whole_text(f"t{number}"))
+                self.assertEqual(self.data(response), complete_output(f"t{number}"))
 
     def test_stream_that_cannot_be_resumed_is_not_ended_cleanly(self):
         deployment = self.start()
--- a/tests/users_platform/test_soak_oracle.py
+++ b/tests/users_platform/test_soak_oracle.py
@@ -3,7 +3,7 @@
 import unittest
 from types import SimpleNamespace
 
-from runkeel_lab.users_platform.servers import Order, Run, whole_text
+from runkeel_lab.users_platform.servers import Order, Run, complete_output
 from runkeel_lab.users_platform.soak import Soak
 
 JOB = "job"
@@ -14,7 +14,7 @@
     return {
         "Id": item_id,
         "State": "completed",
-        "Text": whole_text(item_id),
+        "Text": complete_output(item_id),
         "Score": f"a0.score-{item_id}",
     }
 
--- a/tests/users_platform/test_store_outage.py
+++ b/tests/users_platform/test_store_outage.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from runkeel_lab.users_platform.servers import event_count, whole_text
+from runkeel_lab.users_platform.servers import event_count, complete_output
 from tests.users_platform.deployment_case import DeploymentTestCase
 
 
@@ -27,7 +27,7 @@
         results = self.wait_for_results(deployment, "edge-1", job_id, len(items))
         self.assertEqual(sorted(result["Id"] for result in results), sorted(items))
         for result in results:
-            self.assertEqual(result["Text"], whole_text(result["Id"]))
+            self.assertEqual(result["Text"], complete_output(result["Id"]))
 
     def runs_of(self, deployment, items):
         return [run for one in deployment.engines for run in one.runs if run.request_id in items]
