--- a/src/runkeel_lab/users_platform/store_server.py
+++ b/src/runkeel_lab/users_platform/store_server.py
@@ -58,7 +58,7 @@
     def address(self) -> Address:
         return Address("127.0.0.1", self._server.server_port)
 
-    def mute_watches(self, kind: str) -> None:
+    def hang_watches(self, kind: str) -> None:
         """Never respond to the watches that wait now; their connections stay open."""
         self._hung_at[kind] = steady_seconds()
 
--- a/tests/users_platform/test_deployment.py
+++ b/tests/users_platform/test_deployment.py
@@ -170,7 +170,7 @@
     def test_drain_reaches_nodes_with_silent_watches(self):
         deployment = self.start(applications=3)
         gevent.sleep(1.0)
-        deployment.store.mute_watches("servers")
+        deployment.store.hang_watches("servers")
         server = deployment.applications[0]
         server.drain()
 
@@ -184,7 +184,7 @@
     def test_configuration_reaches_nodes_with_silent_watches(self):
         deployment = self.start()
         gevent.sleep(1.0)
-        deployment.store.mute_watches("config")
+        deployment.store.hang_watches("config")
         deployment.configure(configuration(9))
         nodes = [deployment.node(name).node for name in deployment.node_names]
         self.wait(lambda: all(node.routing.configuration.version == 9 for node in nodes), 6.0)
@@ -192,7 +192,7 @@
     def test_job_runs_while_the_coordinators_watch_is_silent(self):
         deployment = self.start()
         gevent.sleep(1.0)
-        deployment.store.mute_watches("runkeel-jobs")
+        deployment.store.hang_watches("runkeel-jobs")
         started = steady_seconds()
         self.assertEqual(deployment.submit("edge-0", "mute", ["mute-g0-0"]), 202)
         self.wait_for_results(deployment, "edge-0", "mute", 1)
