--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from runkeel.api.backend_protocol import BackendProtocol
-from runkeel.api.documents import Document, DocumentKind, DocumentStore, DocumentParser
+from runkeel.api.documents import Document, DocumentKind, DocumentParser, DocumentStore
 from runkeel.api.duties import DutyPlatform, UsageSettings
 from runkeel.coordination.election import Election
 from runkeel.coordination.order_lease import OrderLease
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -14,8 +14,8 @@
 from runkeel.api.documents import (
     Document,
     DocumentKind,
-    DocumentStore,
     DocumentParser,
+    DocumentStore,
     Freshness,
 )
 from runkeel.api.duties import DutyPlatform, UsageSettings
--- a/src/runkeel/quarantine/fingerprint.py
+++ b/src/runkeel/quarantine/fingerprint.py
@@ -4,7 +4,7 @@
 
 import hashlib
 
-from runkeel.api.backend_protocol import GenerationRequest, ForwardedRequest
+from runkeel.api.backend_protocol import ForwardedRequest, GenerationRequest
 
 DIGEST_BYTES = 16
 """The probability of any collision among 1e9 requests is about 1e-21."""
--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -20,10 +20,10 @@
     RESERVE_PREFIX,
     Deployment,
     configuration,
-    tenant,
     key_header,
+    tenant,
 )
-from runkeel_lab.users_platform.servers import event_count, complete_output
+from runkeel_lab.users_platform.servers import complete_output, event_count
 
 SEED = 1
 STEPS = 3
--- a/src/runkeel_lab/standins/document_store.py
+++ b/src/runkeel_lab/standins/document_store.py
@@ -64,7 +64,7 @@
         self._faults.extend([fault] * times)
 
     def age(self) -> None:
-        """Serve all later reads with ``Freshness.STALE_ALLOWED`` from a snapshot of the current state."""
+        """Serve later ``Freshness.STALE_ALLOWED`` reads from a snapshot of the current state."""
         self._stale_snapshot = self._revision, dict(self._documents)
 
     def compact(self) -> None:
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from runkeel.api.backend_protocol import GenerationRequest, ForwardedRequest
+from runkeel.api.backend_protocol import ForwardedRequest, GenerationRequest
 from runkeel.quarantine.fingerprint import Fingerprinter
 
 PLAIN = ForwardedRequest("r", "POST", "/p?q=1", "h", (("A", "b"),), b"body", tenant="parish")
--- a/tests/runners/test_remote_runs.py
+++ b/tests/runners/test_remote_runs.py
@@ -9,7 +9,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.runners import pool
 from runkeel_lab.users_platform.deployment import Deployment
-from runkeel_lab.users_platform.servers import event_count, complete_output
+from runkeel_lab.users_platform.servers import complete_output, event_count
 
 WAIT_TIMEOUT_SECONDS = 30.0
 
--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -6,7 +6,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.coordination.election import STORAGE_NODES_SETTLE_SECONDS
-from runkeel_lab.users_platform.servers import event_count, complete_output
+from runkeel_lab.users_platform.servers import complete_output, event_count
 from tests.users_platform.deployment_case import DeploymentTestCase
 
 
--- a/tests/users_platform/test_operator_queries.py
+++ b/tests/users_platform/test_operator_queries.py
@@ -11,7 +11,7 @@
 from runkeel.operators.client import OperatorClient
 from runkeel.operators.ctl import ExitCode, run_ctl
 from runkeel.operators.fleet_commands import DRY_RUN
-from runkeel_lab.users_platform.deployment import tenant, key_header
+from runkeel_lab.users_platform.deployment import key_header, tenant
 from tests.users_platform.deployment_case import DeploymentTestCase
 
 
--- a/tests/users_platform/test_store_outage.py
+++ b/tests/users_platform/test_store_outage.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from runkeel_lab.users_platform.servers import event_count, complete_output
+from runkeel_lab.users_platform.servers import complete_output, event_count
 from tests.users_platform.deployment_case import DeploymentTestCase
 
 
--- a/tests/users_platform/test_tenants.py
+++ b/tests/users_platform/test_tenants.py
@@ -9,8 +9,8 @@
     COUNT_PREFIX,
     SCORE_PREFIX,
     configuration,
-    tenant,
     key_header,
+    tenant,
 )
 from tests.users_platform.deployment_case import DeploymentTestCase
 
