--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -264,7 +264,7 @@
         start therefore matches the current incarnation if that one has no reported start either.
         """
         backend_id, _, start = incarnation.partition("@")
-        # The name is a bare server id if no start is known; an id may contain "@".
+        # A name without a start is a bare server id.
         state = self._states.get(incarnation) or self._states.get(backend_id)
         if state is None or state.incarnation == incarnation:
             return state
