--- a/src/runkeel/api/documents.py
+++ b/src/runkeel/api/documents.py
@@ -190,7 +190,7 @@
         """Wait for changes of a kind after a revision.
 
         Raises:
-            HistoryLostError: the store has discarded those changes.
+            HistoryDiscardedError: the store has discarded those changes.
         """
 
 
--- a/src/runkeel/api/fleet.py
+++ b/src/runkeel/api/fleet.py
@@ -117,7 +117,7 @@
         draining: it gets no new work.
         model_versions: weight version of each model that it serves, as last reported.
         start: distinguishes incarnations with the same id; empty: no other one is known.
-        orders_taken: number of orders accepted since it started; None: not reported.
+        orders_accepted: number of orders accepted since it started; None: not reported.
         unreadable: why its entry can no longer be parsed, in which case it gets no new work;
             empty: the entry is valid.
     """
--- a/src/runkeel_lab/users_platform/crashes.py
+++ b/src/runkeel_lab/users_platform/crashes.py
@@ -28,7 +28,7 @@
         paths: a request to one of these paths crashes the server that runs it.
         seconds: time from the start of the run to the crash.
         restart_seconds: time from the crash to the start of the replacement.
-        keeps_id: whether the replacement is started under the same id.
+        reuse_id: whether the replacement is started under the same id.
         reached: one event for each time that a server started to run a crashing request.
         ended: one event for each crash by a request.
     """
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -138,7 +138,7 @@
 
         Args:
             number: suffix of the new id, unless the id is kept.
-            keeps_id: whether the replacement is the next incarnation under this id.
+            reuse_id: whether the replacement is the next incarnation under this id.
         """
         server_id = f"{self.server_id.partition('.')[0]}.{number}"
         replacement = self._new_instance(self.server_id if reuse_id else server_id)
