--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -43,10 +43,10 @@
 class Order:
     """An order that an engine received.
 
-    ``sent_at`` is the steady time of its arrival in seconds, also if it is executed later.
+    ``received_at`` is the steady time of its arrival in seconds, even if it is executed later.
     """
 
-    sent_at: float
+    received_at: float
     holder: str
     token: int
     version: int
@@ -55,7 +55,16 @@
 
 @dataclass(slots=True)
 class ServerFaults:
-    """Faults of a server; shares are fractions of the requests that it runs."""
+    """Faults of a server, injected by setting attributes by name; each share is a probability.
+
+    Attributes:
+        failed_share: share of the requests run that get status 500.
+        lost_share: share of the requests run whose connection is aborted.
+        refused: whether all requests are refused with status 503, except control requests.
+        slow_factor: factor on the time that a request takes.
+        unanswered_orders: share of the orders that get no response and are executed later.
+        stale_share: share of resumed generations that start over at the first event.
+    """
 
     failed_share: float = 0.0
     lost_share: float = 0.0
@@ -63,11 +72,13 @@
     slow_factor: float = 1.0
     unanswered_orders: float = 0.0
     stale_share: float = 0.0
-    """Share of resumed generations that start over at the first event."""
 
 
 class PlatformServer:
-    """An application server."""
+    """An application server.
+
+    ``ended`` is set by :meth:`crash`, but not by :meth:`stop`.
+    """
 
     def __init__(
         self, server_id: str, service: str, zone: str, store: StoreServer, seed: int
@@ -108,7 +119,7 @@
         try:
             self._server.start()
         except OSError:
-            # The port of the previous server has been reused by another process.
+            # Another process listens on the port of the previous server: take any free port.
             self._server = self._listener(0)
             self._server.start()
         self.report_state()
@@ -136,9 +147,11 @@
     def successor(self, number: int, reuse_id: bool = False) -> PlatformServer:
         """Return a replacement for this server, not yet started, at the same address.
 
+        If that port is in use when the replacement starts, it listens on another one.
+
         Args:
             number: suffix of the new id, unless the id is kept.
-            keeps_id: whether the replacement is the next incarnation under this id.
+            reuse_id: whether the replacement is the next incarnation under this id.
         """
         server_id = f"{self.server_id.partition('.')[0]}.{number}"
         replacement = self._new_instance(self.server_id if reuse_id else server_id)
@@ -159,7 +172,7 @@
         self.report_state()
 
     def report_state(self) -> None:
-        """Write the server's entry, unless the server has ended."""
+        """Write the server's entry, unless the server has crashed."""
         if self.ended:
             return
         self._store.objects.put("servers", self.server_id, self._entry())
@@ -197,6 +210,7 @@
             return [b""]
         if environment["PATH_INFO"].startswith("/runkeel/"):
             return self._handle_control(environment, start_response)
+        # Requests beyond the reported slots are accepted too, up to four times their number.
         if self.faults.refused or self.running >= 4 * self.slots:
             start_response("503 Service Unavailable", [("Not-Executed", "1")])
             return [b""]
@@ -344,19 +358,19 @@
         start_response(status, [])
         return [b""]
 
-    def _execute_order_late(self, body: dict[str, Any], sent_at: float) -> None:
-        """Execute an order at the incarnation that holds the id by now."""
+    def _execute_order_late(self, body: dict[str, Any], received_at: float) -> None:
+        """Execute an order at the latest incarnation of this id, unless that one has crashed."""
         latest = self
         while latest.next_incarnation is not None:
             latest = latest.next_incarnation
         if not latest.ended:
-            latest._execute_order(body, sent_at)
+            latest._execute_order(body, received_at)
 
-    def _execute_order(self, body: dict[str, Any], sent_at: float) -> str:
-        fits = body.get("ExpectedRevision") in (None, self._sequence)
-        accepted = fits and not self._busy
+    def _execute_order(self, body: dict[str, Any], received_at: float) -> str:
+        revision_matches = body.get("ExpectedRevision") in (None, self._sequence)
+        accepted = revision_matches and not self._busy
         self.orders.append(
-            Order(sent_at, body["Holder"], body["FencingToken"], body["Version"], accepted)
+            Order(received_at, body["Holder"], body["FencingToken"], body["Version"], accepted)
         )
         if not accepted:
             return "409 Conflict"
--- a/src/runkeel_lab/users_platform/soak.py
+++ b/src/runkeel_lab/users_platform/soak.py
@@ -211,18 +211,18 @@
     def _check_orders(self) -> None:
         former = [one for one in self._deployment.former_servers if hasattr(one, "orders")]
         for engine in [*self._deployment.engines, *former]:
-            # Sorted by the time of sending, because only that is under the control of the holder.
-            orders = sorted(engine.orders, key=lambda order: order.sent_at)
+            # Sorted by arrival, not by execution: the holder only controls when it sends an order.
+            orders = sorted(engine.orders, key=lambda order: order.received_at)
             for before, after in zip(orders, orders[1:], strict=False):
                 if after.token < before.token:
                     self._report_violation(
                         f"{engine.server_id}: token {after.token} after {before.token}"
                     )
-                close = after.sent_at - before.sent_at < _ORDER_PAUSE_SECONDS
+                close = after.received_at - before.received_at < _ORDER_PAUSE_SECONDS
                 if before.holder != after.holder and close:
                     self._report_violation(
                         f"{engine.server_id}: orders of {before.holder} and {after.holder} "
-                        f"{after.sent_at - before.sent_at:.2f} s apart"
+                        f"{after.received_at - before.received_at:.2f} s apart"
                     )
 
     def _report_violation(self, text: str) -> None:
--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -212,7 +212,7 @@
             for before, after in zip(engine.orders, engine.orders[1:], strict=False):
                 if before.holder != after.holder:
                     self.assertGreater(after.token, before.token)
-                    self.assertGreater(after.sent_at - before.sent_at, 0.5)
+                    self.assertGreater(after.received_at - before.received_at, 0.5)
 
 
 if __name__ == "__main__":
