--- a/src/runkeel/backends/__init__.py
+++ b/src/runkeel/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters for back ends: model engines and applications."""
+"""HTTP connections to backends: model engines and application servers."""
