--- a/src/runkeel/http/__init__.py
+++ b/src/runkeel/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP face of a node: routes, errors as problem+json, and the WSGI server."""
+"""The HTTP listener of a node for client requests."""
