--- a/src/runkeel/coordination/__init__.py
+++ b/src/runkeel/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Who coordinates a service: election through the store, succession, weight versions."""
+"""Coordination of the nodes: election through the store, succession and weight rollouts."""
