--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -39,16 +39,24 @@
 
 @dataclass(slots=True)
 class _Relay:
-    """State of one client stream and its attempts."""
+    """State of one client stream and its attempts.
+
+    Attributes:
+        disconnected: set when the client has disconnected.
+        tried: incarnations of the servers already tried, including those that were unreachable.
+        attempts_run: attempts that a server ran or may have run; only these count towards the
+            route's maximum. Increased after an uncertain failure or after a response other than a
+            refusal, not on sending.
+    """
 
     request: ForwardedRequest
     watched: WatchedRequest
     route: Route
     service: str
     deadline: float
-    gone: Event
+    disconnected: Event
     tried: set[str] = field(default_factory=set)
-    sent: int = 0
+    attempts_run: int = 0
     state: BackendState | None = None
     stream: HttpResponseStream | None = None
     last_event_id: str | None = None
@@ -78,13 +86,18 @@
         self._zone = zone
 
     def open(
-        self, request: ForwardedRequest, route: Route, service: str, deadline: float, gone: Event
+        self,
+        request: ForwardedRequest,
+        route: Route,
+        service: str,
+        deadline: float,
+        disconnected: Event,
     ) -> OpenedStream:
         """Return a stream once a server has sent its response headers.
 
         Args:
             deadline: steady clock time, in seconds, by which the response has to be complete.
-            gone: set when the client has disconnected.
+            disconnected: set when the client has disconnected.
 
         Raises:
             RunkeelError: with verdict NOT_RUN only if no server ran the request.
@@ -92,26 +105,35 @@
         watched = self._quarantine.watch(
             lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
         )
-        relay = _Relay(request, watched, route, service, deadline, gone)
+        relay = _Relay(request, watched, route, service, deadline, disconnected)
         relay.last_event_id = request.resume_after
         usage_entry = self._meter.start_request(request.tenant)
         try:
-            failure = self._connect(relay)
+            failure = self._try_servers(relay)
         finally:
-            if not relay.sent:
+            if not relay.attempts_run:
+                # A trial is a single send of a quarantined request, granted by the coordinator.
                 watched.return_trial()
-            started_at = self._meter.now() if relay.sent else None
+            started_at = self._meter.now() if relay.attempts_run else None
             self._meter.finish_request(usage_entry, request.tenant, started_at)
         if failure is not None:
             return failure
         return OpenedStream(relay.stream.status, relay.stream.headers, self._relay(relay))
 
-    def _connect(self, relay: _Relay) -> OpenedStream | None:
-        """Open a stream at a server; returns the last failure response if no server opens one."""
+    def _try_servers(self, relay: _Relay) -> OpenedStream | None:
+        """Try servers until one opens a stream.
+
+        Returns:
+            None if a stream is open, otherwise the last failure response.
+
+        Raises:
+            RunkeelError: if no server opened a stream and none responded with a failure, or if an
+                attempt may have run and the request is not repeatable.
+        """
         failure: OpenedStream | None = None
         error = not_run(ErrorCode.QUEUE_FULL, relay.service)
-        while steady_seconds() < relay.deadline and not relay.gone.is_set():
-            if relay.sent >= relay.route.maximum_attempts:
+        while steady_seconds() < relay.deadline and not relay.disconnected.is_set():
+            if relay.attempts_run >= relay.route.maximum_attempts:
                 break
             candidates = self._directory.candidates(relay.service, relay.tried)
             if relay.watched.quarantined:
@@ -120,19 +142,19 @@
             if state is None:
                 break
             if relay.watched.quarantined:
-                if relay.sent:
+                if relay.attempts_run:
                     break
                 relay.watched.admit()
             relay.tried.add(state.incarnation)
             try:
-                outcome = self._open_at(relay, state)
+                outcome = self._send_to_server(relay, state)
             except RunkeelError as raised:
                 ATTEMPTS.labels(relay.service, str(raised.code)).inc()
                 state.record_call_failure()
                 relay.watched.record_failure(state, raised)
                 if raised.verdict is Verdict.NOT_RUN:
                     continue
-                relay.sent += 1
+                relay.attempts_run += 1
                 error = raised
                 if not relay.route.repeatable:
                     raise
@@ -150,19 +172,22 @@
             error.retry_after_seconds = estimate_retry_after(servers, steady_seconds())
         raise error
 
-    def _open_at(self, relay: _Relay, state: BackendState) -> OpenedStream | None:
+    def _send_to_server(self, relay: _Relay, state: BackendState) -> OpenedStream | None:
         """Send the request to one server.
 
         Returns:
-            None if the stream is open, a response with status 0 if the server refused the
-            request, otherwise the server's failure response.
+            None if the stream is open, otherwise the server's failure response. Status 0 is a
+            sentinel for trying the next server: this one refused the request, or the response
+            came from another server at its address.
         """
         remaining = relay.deadline - steady_seconds()
         request = replace(relay.request, resume_after=relay.last_event_id)
         outgoing = self._protocol.encode_plain(request, state.backend, remaining)
         state.in_flight += 1
         stream: HttpResponseStream | None = None
-        disconnect_watcher = gevent.spawn(_cancel_on_disconnect, relay.gone, gevent.getcurrent())
+        disconnect_watcher = gevent.spawn(
+            _cancel_on_disconnect, relay.disconnected, gevent.getcurrent()
+        )
         try:
             stream = state.pool.open_stream(outgoing, relay.deadline)
         finally:
@@ -173,7 +198,7 @@
         response_class = self._protocol.classify(request.request_id, stream.status, stream.headers)
         ATTEMPTS.labels(relay.service, response_class.value).inc()
         if response_class is ResponseClass.SUCCESS:
-            relay.sent += 1
+            relay.attempts_run += 1
             relay.state, relay.stream = state, stream
             return None
         return self._read_failure(relay, state, stream, response_class)
@@ -185,6 +210,7 @@
         stream: HttpResponseStream,
         response_class: ResponseClass,
     ) -> OpenedStream:
+        """Read a failure response; returns status 0 if the next server may be tried instead."""
         try:
             body = b"".join(stream.chunks(relay.deadline))
         finally:
@@ -195,7 +221,7 @@
             if response_class is ResponseClass.MISDIRECTED:
                 self._quarantine.crash_detector.address_taken(state)
             return OpenedStream(0, [], b"")
-        relay.sent += 1
+        relay.attempts_run += 1
         if response_class is ResponseClass.FOREIGN:
             raise RunkeelError(ErrorCode.BACKEND_LOST, "response to a different request")
         return OpenedStream(stream.status, stream.headers, body)
@@ -265,10 +291,10 @@
         relay.state.record_call_failure()
         relay.watched.record_failure(relay.state, error)
         self._close_stream(relay)
-        if not relay.route.resumable or relay.gone.is_set():
+        if not relay.route.resumable or relay.disconnected.is_set():
             raise ResponseAbortedError(error.detail)
         try:
-            failure = self._connect(relay)
+            failure = self._try_servers(relay)
         except RunkeelError as raised:
             raise ResponseAbortedError(raised.detail) from raised
         if failure is not None:
@@ -281,13 +307,13 @@
             relay.state.in_flight -= 1
 
 
-def _cancel_on_disconnect(gone: Event, opener: gevent.Greenlet) -> None:
-    gone.wait()
+def _cancel_on_disconnect(disconnected: Event, opener: gevent.Greenlet) -> None:
+    disconnected.wait()
     gevent.kill(opener, RunkeelError(ErrorCode.CANCELLED, "the client disconnected"))
 
 
 def _abort_on_disconnect(relay: _Relay) -> None:
-    relay.gone.wait()
+    relay.disconnected.wait()
     stream = relay.stream
     if stream is not None:
         stream.abort()
