--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -61,7 +61,7 @@
         in_flight: requests of this node in flight.
         failures: consecutive failures.
         avoid_until: steady clock time, in seconds, until which the server is avoided.
-        answered_at: steady clock time of its last response to a request of this node.
+        last_response_at: steady clock time of its last response to a request of this node.
         average_response_seconds: moving average of its response times in seconds; 0 if unknown.
         replaced: whether a newer incarnation has taken over the server id.
     """
@@ -72,7 +72,7 @@
         self.in_flight = 0
         self.failures = 0
         self.avoid_until = 0.0
-        self.answered_at = 0.0
+        self.last_response_at = 0.0
         self.average_response_seconds = 0.0
         self.replaced = False
         # So that `ended` is false at first; the steady clock is never negative.
@@ -98,7 +98,7 @@
 
     def record_call_success(self) -> None:
         """Record a successful request; clears failures and the mark that the server has ended."""
-        self.answered_at = steady_seconds()
+        self.last_response_at = steady_seconds()
         self._ended_at = -ENDED_RETRY_SECONDS
         self.failures = 0
         self.avoid_until = 0.0
--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -33,13 +33,17 @@
 
     COMPLETE = "complete"
     BROKEN = "broken"
-    """The engine or the connection failed midway; events received so far remain valid."""
+    """Any other failure during or after sending the request.
+
+    Examples are a lost connection, a stall, and a failure response that does not count as a failed
+    attempt. Events received so far remain valid.
+    """
     REFUSED = "refused"
     """The engine rejected the request without running it."""
     UNREACHABLE = "unreachable"
     """The connection could not be established, so the engine did not run it."""
     FAILED = "failed"
-    """The engine ran it and reported a failure."""
+    """The engine responded with a failure that counts as a failed attempt."""
     IMPOSSIBLE = "impossible"
     """The engine rejected the request as unprocessable; retrying cannot succeed."""
     MOVED = "moved"
@@ -56,7 +60,8 @@
         pieces: data of the events received.
         versions: weight versions that generated the events, in order of appearance.
         complete: the end of the generation was received.
-        generation: unique within the process; changes when the output is cleared.
+        generation: revision counter, unrelated to the model's generation; unique within the
+            process, and changed when the output is cleared.
     """
 
     pieces: list[str] = field(default_factory=list)
@@ -75,7 +80,10 @@
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Sort key among outputs of one item; larger is better: newer weights, then more events."""
+        """Sort key among outputs of one item, where larger is better.
+
+        Outputs are compared by their oldest weight version, then by their number of events.
+        """
         return min(self.versions, default=0), len(self.pieces)
 
     def satisfies_versions(self, minimum_version: int, single_version: bool) -> bool:
@@ -117,7 +125,7 @@
         self.loading = loading
         self.events = 0
         self.first_event_at = 0.0
-        self.last_event_at = 0.0
+        self.last_progress_at = 0.0
         self.detail = ""
         self._stream: HttpResponseStream | None = None
         self._moved = False
@@ -132,7 +140,7 @@
         """Run to completion or until the deadline, a steady clock time in seconds."""
         remaining = deadline - steady_seconds()
         outgoing = self._protocol.encode_generation(self._request, self._state.backend, remaining)
-        self.last_event_at = steady_seconds()
+        self.last_progress_at = steady_seconds()
         try:
             first_deadline = min(deadline, steady_seconds() + RESPONSE_TIMEOUT_SECONDS)
             stream = self._state.pool.open_stream(outgoing, first_deadline)
@@ -140,7 +148,7 @@
             self.detail = error.detail
             self._watched.record_failure(self._state, error)
             self._watched.return_trial()
-            return _outcome_without_answer(error)
+            return _outcome_without_response(error)
         self._watched.record_delivery()
         self._stream = stream
         try:
@@ -151,11 +159,11 @@
 
     def _read(self, stream: HttpResponseStream, deadline: float) -> RunOutcome:
         request_id = self._request.request_id
-        answer_class = self._protocol.classify(request_id, stream.status, stream.headers)
-        if stream.status == _UNPROCESSABLE and answer_class is ResponseClass.FAILURE:
+        response_class = self._protocol.classify(request_id, stream.status, stream.headers)
+        if stream.status == _UNPROCESSABLE and response_class is ResponseClass.FAILURE:
             return RunOutcome.IMPOSSIBLE
-        if answer_class is not ResponseClass.SUCCESS:
-            return self._drain_failure(stream, answer_class)
+        if response_class is not ResponseClass.SUCCESS:
+            return self._drain_failure(stream, response_class)
         version = self._protocol.weight_version(stream.headers)
         if version and version < self._minimum_version:
             return RunOutcome.OLD_VERSION
@@ -168,16 +176,18 @@
             self._watched.record_failure(self._state, error)
             return RunOutcome.BROKEN
 
-    def _drain_failure(self, stream: HttpResponseStream, answer_class: ResponseClass) -> RunOutcome:
+    def _drain_failure(
+        self, stream: HttpResponseStream, response_class: ResponseClass
+    ) -> RunOutcome:
         self.detail = f"status {stream.status}"
         try:
             for _ in stream.chunks(steady_seconds() + STALL_TIMEOUT_SECONDS):
                 pass
         except RunkeelError as error:
             self.detail += f", {error.detail}"
-        if answer_class in (ResponseClass.REFUSED, ResponseClass.MISDIRECTED):
+        if response_class in (ResponseClass.REFUSED, ResponseClass.MISDIRECTED):
             return RunOutcome.REFUSED
-        if answer_class is ResponseClass.FAILURE and self._protocol.is_failed_attempt(
+        if response_class is ResponseClass.FAILURE and self._protocol.is_failed_attempt(
             stream.status
         ):
             return RunOutcome.FAILED
@@ -193,7 +203,7 @@
                 if version < 0:
                     return RunOutcome.OLD_VERSION
         self._partial.complete = True
-        self._state.answered_at = steady_seconds()
+        self._state.last_response_at = steady_seconds()
         self._watched.record_success()
         return RunOutcome.COMPLETE
 
@@ -201,14 +211,14 @@
         """Return the next bytes; None at the end. Raises RunkeelError when the engine stalls."""
         while True:
             limit = LOADING_STALL_TIMEOUT_SECONDS if self.loading() else STALL_TIMEOUT_SECONDS
-            read_deadline = min(deadline, self.last_event_at + limit)
+            read_deadline = min(deadline, self.last_progress_at + limit)
             try:
                 return stream.read_chunk(read_deadline)
             except RunkeelError as error:
                 timed_out = error.code is ErrorCode.DEADLINE_EXCEEDED
                 if not timed_out or steady_seconds() >= deadline or not self.loading():
                     raise
-                if steady_seconds() >= self.last_event_at + LOADING_STALL_TIMEOUT_SECONDS:
+                if steady_seconds() >= self.last_progress_at + LOADING_STALL_TIMEOUT_SECONDS:
                     raise
 
     def _append_event(self, block: bytes, version: int) -> int:
@@ -235,11 +245,11 @@
         now = steady_seconds()
         self.events += 1
         self.first_event_at = self.first_event_at or now
-        self.last_event_at = now
+        self.last_progress_at = now
         return version
 
 
-def _outcome_without_answer(error: RunkeelError) -> RunOutcome:
+def _outcome_without_response(error: RunkeelError) -> RunOutcome:
     if error.verdict is not Verdict.NOT_RUN:
         return RunOutcome.BROKEN
     unreachable = error.code is ErrorCode.BACKEND_UNREACHABLE
--- a/src/runkeel/quarantine/server_ends.py
+++ b/src/runkeel/quarantine/server_ends.py
@@ -130,5 +130,5 @@
         for lost in pending:
             if not matches(lost.state):
                 self._unexplained.append(lost)
-            elif lost.state.answered_at < lost.lost_at:
+            elif lost.state.last_response_at < lost.lost_at:
                 self._on_crash(lost, evidence)
