--- a/src/runkeel/jobs/partial_output_replication.py
+++ b/src/runkeel/jobs/partial_output_replication.py
@@ -2,8 +2,8 @@
 
 The coordinator periodically sends each successor the events added since the last update. A
 successor that becomes coordinator continues each generation after the last event that it has,
-instead of restarting it. A lost copy costs time, never a result. Nodes with a disk also write
-partial outputs to a journal, see :mod:`runkeel.jobs.partial_output_journal`.
+instead of restarting it. Losing a copy only means that the generation restarts. Nodes with a disk
+also write partial outputs to a journal, see :mod:`runkeel.jobs.partial_output_journal`.
 """
 
 from __future__ import annotations
@@ -33,10 +33,13 @@
 """Time since its last update after which a copy is evicted."""
 
 MAX_COPIES = 4_000
-"""Bound on the copies that a node keeps; the oldest are evicted first."""
+"""Bound on the copies that a node keeps; the items added first are evicted first."""
 
 MAX_MESSAGE_BYTES = 500_000
-"""Bound on the text in one message, in bytes; larger ones may time out on a slow link."""
+"""Bound on the text in one message, counted in characters before encoding.
+
+Larger messages may time out on a slow link.
+"""
 
 _NO_GENERATION = 0
 """Marks an update that removes a copy; the generations of outputs begin at 1."""
@@ -55,10 +58,12 @@
     """Sends the partial outputs of one term to successors and to this node's journal.
 
     Args:
-        outputs: returns the outputs of items that are running, waiting or not listed yet, by item.
+        outputs: returns the outputs, by item, of items that are running, waiting, or not listed in
+            the job's results yet.
         successors: returns the nodes that receive copies.
         journal: this node's own; None if it has no disk.
-        finished: returns whether an item's result is listed, so that its copies may be removed.
+        finished: returns whether an item is listed in the job's results, so that its copies may be
+            removed.
     """
 
     def __init__(
