--- a/src/runkeel/coordination/document_feed.py
+++ b/src/runkeel/coordination/document_feed.py
@@ -32,15 +32,19 @@
 MAX_COPY_AGE_SHARE = 0.65
 """Maximum time since the store has confirmed the coordinator's copy for nodes to rely on it.
 
-The share is of the propagation time; the shorter one counts.
+The limit is the smaller of the two; the share is a fraction of the propagation time.
 """
 
 COORDINATOR_WATCH_SECONDS = 0.7
 COORDINATOR_WATCH_SHARE = 0.35
-"""The coordinator's watches are short, as each one confirms the copy that all nodes rely on."""
+"""Maximum duration of one of the coordinator's watches of the store.
+
+The limit is the smaller of the two; the share is a fraction of the propagation time. The watches
+are short because each one confirms the copy that all nodes rely on.
+"""
 
 MAX_HOLD_SECONDS = 2.0
-"""Upper bound of the time for which a follower may request that a reply is held."""
+"""Longest long-poll wait: a follower's request waits at most this long for changes."""
 
 
 def max_copy_age_seconds(propagation_seconds: float) -> float:
@@ -49,7 +53,7 @@
 
 
 def coordinator_watch_seconds(propagation_seconds: float) -> float:
-    """Return the duration of one of the coordinator's watches, in seconds."""
+    """Return the maximum duration of one of the coordinator's watches, in seconds."""
     return min(COORDINATOR_WATCH_SECONDS, COORDINATOR_WATCH_SHARE * propagation_seconds)
 
 
@@ -76,6 +80,7 @@
         watcher = self.watcher
         if revision >= watcher.revision:
             return None
+        # Removals before contiguous_since may be unknown, so an older copy needs a full snapshot.
         whole = revision < watcher.contiguous_since
         names = watcher.documents if whole else self._changed_since(revision)
         removed = [] if whole else [name for at, name in watcher.removals if at > revision]
@@ -93,10 +98,10 @@
 
     Args:
         watchers: watchers of the kinds to serve.
-        coordinating_since: returns the steady time at which this node became coordinator; None:
-            it is not the coordinator.
+        coordinating_since: returns the steady time at which this node became coordinator, or None
+            if it is not the coordinator.
         max_copy_age: maximum time since the store has confirmed the copy, in seconds.
-        successor: returns the coordinator that replaced this node; None: none is known.
+        successor: returns the coordinator that replaced this node, or None if none is known.
     """
 
     def __init__(
@@ -109,8 +114,8 @@
     ) -> None:
         self._successor = successor
         self._kinds = {watcher.kind: _KindFeed(watcher) for watcher in watchers}
-        # A document that expired in an outage and came back is no change in a copy that kept it
-        # meanwhile, but nodes that read the store themselves may have dropped it.
+        # The watcher keeps documents that expire during a store outage, so their reappearance does
+        # not trigger a change, yet other nodes may have dropped them.
         for watcher in watchers:
             watcher.on_reappearance(lambda document: self.record_change(document, removed=False))
         self._coordinating_since = coordinating_since
