--- a/src/runkeel/quarantine/gossip.py
+++ b/src/runkeel/quarantine/gossip.py
@@ -1,4 +1,4 @@
-"""Propagates ledger changes to all nodes by gossip.
+"""Propagates changes of the crash ledger to all nodes by gossip.
 
 Each node forwards records that are new to it to its neighbours, so that updates spread even while
 the coordinator, the store or some nodes are unavailable. The cost grows with the number of
@@ -49,7 +49,10 @@
 """
 
 MIN_EXCHANGE_INTERVAL_SECONDS = 5.0
-"""Minimum time between two exchanges; full ledgers may differ permanently in what they evicted."""
+"""Minimum time between two exchanges.
+
+Ledgers at capacity may have evicted different records, so their digests can differ permanently.
+"""
 
 
 class QuarantineGossip:
@@ -77,15 +80,16 @@
         self._pending: dict[str, set[str]] = {}
         """Fingerprints of records still to be sent, by neighbour."""
         self._send_tasks: dict[str, gevent.Greenlet] = {}
+        # No exchange yet: the first one need not wait for the minimum interval.
         self._exchanged_at = -MIN_EXCHANGE_INTERVAL_SECONDS
-        self._exchanging: gevent.Greenlet | None = None
+        self._exchange_task: gevent.Greenlet | None = None
         network.on_call(MessageType.QUARANTINE_NEWS, QuarantineNews, self._receive)
         ledger.on_change(self._on_record_changed)
 
     def stop(self) -> None:
         gevent.killall(list(self._send_tasks.values()), block=False)
-        if self._exchanging is not None:
-            self._exchanging.kill(block=False)
+        if self._exchange_task is not None:
+            self._exchange_task.kill(block=False)
 
     def exchange(self, node_id: str) -> None:
         """Send all records to another node and merge all of its records. Raises RunkeelError."""
@@ -98,12 +102,13 @@
         interval_elapsed = now - self._exchanged_at >= MIN_EXCHANGE_INTERVAL_SECONDS
         if digest != self._ledger.digest and interval_elapsed:
             self._exchanged_at = now
-            self._exchanging = gevent.spawn(self._exchange_if_different, node_id, digest)
+            self._exchange_task = gevent.spawn(self._exchange_if_different, node_id, digest)
 
     def _exchange_if_different(self, node_id: str, digest: int) -> None:
         """Exchange ledgers, unless updates in transit have made them equal."""
         gevent.sleep(DIGEST_MISMATCH_SECONDS)
         if digest == self._ledger.digest:
+            # Nothing was exchanged, so the next mismatch need not wait for the minimum interval.
             self._exchanged_at = -MIN_EXCHANGE_INTERVAL_SECONDS
             return
         try:
@@ -140,8 +145,10 @@
         failing_since = 0.0
         try:
             while pending := self._pending.get(neighbour):
-                batch = [pending.pop() for _ in range(min(MAX_BATCH_RECORDS, len(pending)))]
-                records = [one for name in batch if (one := self._ledger.get(name)) is not None]
+                fingerprints = [pending.pop() for _ in range(min(MAX_BATCH_RECORDS, len(pending)))]
+                records = [
+                    one for key in fingerprints if (one := self._ledger.get(key)) is not None
+                ]
                 if not records:
                     continue
                 try:
@@ -153,7 +160,7 @@
                     if steady_seconds() - failing_since > NEIGHBOUR_TIMEOUT_SECONDS:
                         self._log_neighbour_timeout(neighbour, error)
                         return
-                    pending.update(batch)
+                    pending.update(fingerprints)
                     gevent.sleep(RETRY_DELAY_SECONDS)
         finally:
             self._pending.pop(neighbour, None)
