--- a/src/runkeel/wire/connection.py
+++ b/src/runkeel/wire/connection.py
@@ -24,7 +24,11 @@
 from runkeel.wire.streams import Stream
 
 PEER_TIMEOUT_SECONDS = 2.0
-"""Time without received data after which an unresponsive peer counts as lost."""
+"""Time-out after which an unresponsive peer counts as lost.
+
+With open streams, this is the time without received data; without streams, pings are sent later,
+see :data:`IDLE_KEEPALIVE_SECONDS`. It is also the time-out of each send on the socket.
+"""
 
 KEEPALIVE_SECONDS = 0.5
 """Time without received data after which a connection with open streams is pinged."""
@@ -36,12 +40,26 @@
 """Time without open streams after which the dialing side closes the connection."""
 
 MAX_STREAMS = 1_024
+"""Maximum number of open streams per connection."""
+
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
+"""Size of a connection's send queue from which new streams are refused and writers block."""
+
 SEND_QUEUE_TIMEOUT_SECONDS = 5.0
+"""Longest wait of a writer while the send queue is full."""
+
 _RECEIVE_BYTES = 64 * 1024
+"""Maximum number of bytes read from the socket at once."""
+
 _BATCH_BYTES = 64 * 1024
+"""Soft limit on the bytes that are sent at once; the last frame of a batch may exceed it."""
+
 _CHUNKS_PER_YIELD = 16
+"""Number of received chunks after which the reader yields to other greenlets."""
+
 _PARTITION_POLL_SECONDS = 0.05
+"""Interval between checks whether a partition emulated by the link policy has ended."""
+
 _CONTROL_TYPES = frozenset((FINISH, MessageType.ERROR, MessageType.CANCEL, MessageType.WINDOW))
 
 
@@ -54,7 +72,11 @@
 class Connection:
     """A connection to one peer. Implements :class:`runkeel.wire.streams.FrameSink`.
 
+    Connections to other zones always have a link policy; the default one has no effect, and only
+    tests pass one that emulates delays and partitions.
+
     Args:
+        link_policy: emulates the link to the peer's zone; None within a zone.
         registry: handles streams that the peer opens; None on the dialing side.
         on_closed: called once when the connection has ended.
     """
@@ -235,7 +257,11 @@
             gevent.sleep(_PARTITION_POLL_SECONDS)
 
     def _next_batch(self) -> bytes:
-        """Return the frames to send now; their streams count as opened at the peer from here on."""
+        """Return the frames to send now.
+
+        Marks their streams as sent: from here on, cancelling one no longer proves that it was not
+        run.
+        """
         parts = []
         size = 0
         now = steady_seconds() if self._link_policy is not None else 0.0
