--- a/src/runkeel/operators/language.py
+++ b/src/runkeel/operators/language.py
@@ -1,4 +1,8 @@
-"""Parser of the operators' language: turns a text into a typed statement."""
+"""Parser of the operator command language (show, set, create, drain, ...).
+
+It turns a text into a typed statement. Columns in errors and statements are offsets into the whole
+text, which may have several lines.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +37,11 @@
 )
 
 MAX_STATEMENT_LENGTH = 4_000
+"""Maximum length of a statement, in characters."""
+
 CHANGEABLE_KINDS = {str(kind): kind for kind in ObjectKind if kind is not ObjectKind.RECORD_GROUP}
 """Kinds that operators may change; record groups are managed by the system."""
+
 _TERMINAL_KEYWORDS = {
     "WORD": (),
     "STRING": (),
@@ -43,6 +50,7 @@
     "DIRECTION": ("asc", "desc"),
     "COMMA": (",",),
 }
+"""Keywords of the grammar's terminals that do not stand for exactly one keyword."""
 
 
 @functools.cache
@@ -72,7 +80,7 @@
 
 
 def expected_keywords(text: str) -> tuple[str, ...]:
-    """Return the keywords that may follow a text, sorted."""
+    """Return the keywords that may follow a text, sorted; used for prompt completion."""
     interactive = _parser().parse_interactive(text)
     try:
         interactive.exhaust_lexer()
@@ -82,7 +90,10 @@
 
 
 def accepts_word(text: str) -> bool:
-    """Return whether an arbitrary word (a name, field or value) may follow a text."""
+    """Return whether an arbitrary word (a name, field or value) may follow a text.
+
+    Used for prompt completion.
+    """
     interactive = _parser().parse_interactive(text)
     try:
         interactive.exhaust_lexer()
