--- a/src/runkeel/tenants/access.py
+++ b/src/runkeel/tenants/access.py
@@ -32,7 +32,7 @@
         raise _unauthorized("exactly one Authorization header of the form 'Bearer KEY' is needed")
     tenant = tenants.of_key(key)
     if tenant is None:
-        raise _unauthorized("the key is not known")
+        raise _unauthorized("unknown API key")
     return tenant.name
 
 
