--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -62,7 +62,7 @@
 
     Attributes:
         journal: journal of partial outputs on the local disk; None on a node without data folder.
-        leave: hands over coordination to another node.
+        hand_over_coordination: hands over coordination to another node.
         usage: None if the platform wants no usage reports.
     """
 
@@ -79,7 +79,7 @@
     lease: OrderLease
     election: Election
     journal: PartialOutputJournal | None
-    leave: Callable[[], None]
+    hand_over_coordination: Callable[[], None]
     usage: UsageDependencies | None
 
 
@@ -90,7 +90,7 @@
         partial_outputs: copies of the previous coordinator's partial outputs, by item id.
 
     Attributes:
-        targets: newest version by model, as published by trainers.
+        target_versions: newest version by model, as published by trainers.
         tentative: whether the store has not confirmed this term yet.
     """
 
@@ -99,10 +99,10 @@
     ) -> None:
         self.epoch = epoch
         self._node_id = dependencies.node_id
-        self._leave = dependencies.leave
+        self._hand_over_coordination = dependencies.hand_over_coordination
         self._store = dependencies.store
         self._translator = dependencies.translator
-        self.targets: dict[str, int] = {}
+        self.target_versions: dict[str, int] = {}
         self.tentative = False
         self._directory = dependencies.directory
         self._protocol = dependencies.protocol
@@ -156,8 +156,8 @@
             dependencies.lease,
             dependencies.node_id,
             lambda: dependencies.routing.configuration,
-            self.targets,
-            lambda model: self.jobs.demand(model, self.targets.get(model, 0)),
+            self.target_versions,
+            lambda model: self.jobs.demand(model, self.target_versions.get(model, 0)),
             self._on_version_loaded,
             self._placement.slots_in_use,
             self.scheduler.move_items_before_load,
@@ -166,10 +166,10 @@
             dependencies.store,
             self.scheduler,
             epoch,
-            lambda model: self.targets.get(model, 0),
+            lambda model: self.target_versions.get(model, 0),
             dependencies.election.step_down,
             partial_outputs_expected=epoch > 1 and not partial_outputs,
-            previous_term_drain_seconds=self._earlier_runs_seconds,
+            previous_term_drain_seconds=self._previous_term_drain_seconds,
         )
         self.usage = (
             None
@@ -189,7 +189,7 @@
         ]
 
     def start_tentatively(
-        self, copies: Iterable[CopiedJob], handed_over: Iterable[tuple[str, EncodedJob]]
+        self, copies: Iterable[CopiedJob], unstored_jobs: Iterable[tuple[str, EncodedJob]]
     ) -> None:
         """Continue running items while the store can't be reached to confirm the coordinator.
 
@@ -197,25 +197,28 @@
 
         Args:
             copies: copies of the previous coordinator's open jobs.
-            handed_over: jobs on this node that the store has not accepted yet.
+            unstored_jobs: jobs on this node that the store has not accepted yet.
         """
         self.tentative = True
         self._startup_greenlet = gevent.spawn(
-            self._begin_tentatively, list(copies), list(handed_over)
+            self._begin_tentatively, list(copies), list(unstored_jobs)
         )
 
     def _begin_tentatively(
-        self, copies: list[CopiedJob], handed_over: list[tuple[str, EncodedJob]]
+        self, copies: list[CopiedJob], unstored_jobs: list[tuple[str, EncodedJob]]
     ) -> None:
-        """Query the engines' versions, which only a coordinator tracks, before running items."""
+        """Resume jobs from copies and add the jobs that the store has not accepted yet.
+
+        The engines' versions, which only a coordinator tracks, are queried first.
+        """
         reported = query_versions(self._directory, self._protocol, self._services())
         self._placement.versions.update(reported)
         self.jobs.resume_from_copies(copies)
-        for job_id, encoded in handed_over:
+        for job_id, encoded in unstored_jobs:
             self.jobs.add_handed_over(job_id, encoded)
 
     def start(self) -> None:
-        """Start coordinating, or confirm a tentative term."""
+        """Start coordinating, or continue a tentative term that the store has confirmed."""
         self.tentative = False
         for watcher in self._watchers:
             watcher.start()
@@ -241,14 +244,16 @@
         for watcher in self._watchers:
             watcher.stop()
 
-    def _earlier_runs_seconds(self, items: int) -> float:
+    def _previous_term_drain_seconds(self, items: int) -> float:
         """Return how long runners may still run items for the previous coordinator, in seconds.
 
         Args:
             items: number of items of all open jobs.
         """
-        used = self.epoch > 1 and self.runners.engines_exceed_local_runs and items > MAX_LOCAL_RUNS
-        return RUNNER_LOST_SECONDS if used else 0.0
+        runners_were_used = (
+            self.epoch > 1 and self.runners.engines_exceed_local_runs and items > MAX_LOCAL_RUNS
+        )
+        return RUNNER_LOST_SECONDS if runners_were_used else 0.0
 
     def _start_rollout(self) -> None:
         """Start the rollout once the open jobs are loaded, since it depends on their demand.
@@ -273,9 +278,9 @@
         if removed:
             return
         model, version = self._translator.model_version(document)
-        if version <= self.targets.get(model, 0):
+        if version <= self.target_versions.get(model, 0):
             return
-        self.targets[model] = version
+        self.target_versions[model] = version
         logger.info(
             "new model version",
             code="version_named",
@@ -299,7 +304,7 @@
         if name == self._node_id:
             # The platform removes the machine as soon as its retirement is completed, so the next
             # coordinator completes it.
-            self._leave()
+            self._hand_over_coordination()
             return
         self._complete_retirement(name)
 
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -347,7 +347,7 @@
 
     def newest_versions(self) -> dict[str, int]:
         """Return the newest version by model; empty if this node does not coordinate."""
-        return dict(self._term.targets) if self._term is not None else {}
+        return dict(self._term.target_versions) if self._term is not None else {}
 
     def usage_windows(self) -> list[WindowSummary]:
         """Return usage by window; empty if this node does not coordinate."""
