--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -115,7 +115,7 @@
         super().handle_error(kind, value, traceback)
 
     def log_request(self) -> None:
-        """Disable access logs; decisions are logged where they are made."""
+        """Disable access logs; the components that handle a request log notable events."""
 
     def log_error(self, message: str, *arguments: object) -> None:
         """Disable logs of malformed requests."""
@@ -271,7 +271,10 @@
 
 
 def _watch_disconnect(sock: socket.socket, gone: Event) -> None:
-    """Set the event when the peer disconnects; return if it pipelines another request."""
+    """Set the event when the peer disconnects.
+
+    Returns if the peer pipelines another request; from then on, disconnects are not noticed.
+    """
     try:
         socket.wait_read(sock.fileno())
         if not sock.recv(1, socket.MSG_PEEK):
