--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -16,10 +16,10 @@
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 from runkeel.gateway.backends import BackendState
 from runkeel.metrics import QUARANTINE_RECORDS, QUARANTINE_REFUSALS, SERVERS_ENDED
+from runkeel.quarantine.crash_detector import CrashDetector, CrashEvidence, LostConnection
 from runkeel.quarantine.crash_ledger import MAX_RECORDS, CrashLedger
 from runkeel.quarantine.crash_record import CrashRecord
 from runkeel.quarantine.fingerprint import Fingerprinter
-from runkeel.quarantine.server_ends import CrashDetector, CrashEvidence, LostConnection
 from runkeel.quarantine.trials import BUSY_RETRY_SECONDS, TrialAnswer
 
 TRIAL_WAIT_SECONDS = 0.3
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -15,7 +15,7 @@
 from runkeel.gateway.backends import BackendState
 from runkeel.gateway.forwarder import Forwarder
 from runkeel.gateway.streams import StreamForwarder
-from runkeel.quarantine.server_ends import LostConnection
+from runkeel.quarantine.crash_detector import LostConnection
 from runkeel.quarantine.trials import TrialAnswer
 from runkeel.usage.meter import UsageMeter
 from tests.gateway.scripted_servers import (
