--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -15,9 +15,9 @@
 from runkeel.errors import RunkeelError
 from runkeel.gateway.backends import BackendDirectory, BackendState
 from runkeel.quarantine.crash_record import CrashRecord, from_wire, to_wire
+from runkeel.quarantine.crash_record_writer import CrashRecordWriter, read_records
 from runkeel.quarantine.gossip import QuarantineGossip
 from runkeel.quarantine.quarantine import Quarantine
-from runkeel.quarantine.record_keeper import CrashRecordWriter, read_records
 from runkeel.quarantine.trials import NO_COORDINATOR_RETRY_SECONDS, TrialAnswer, TrialArbiter
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.quarantine.ttypes import TrialReply, TrialRequest
--- a/tests/quarantine/test_record_keeper.py
+++ b/tests/quarantine/test_crash_record_writer.py
@@ -7,13 +7,13 @@
 from runkeel.api.documents import DocumentKind
 from runkeel.clock import steady_seconds
 from runkeel.quarantine.crash_ledger import CrashLedger
-from runkeel.quarantine.record_keeper import CrashRecordWriter, read_records
+from runkeel.quarantine.crash_record_writer import CrashRecordWriter, read_records
 from runkeel_lab.standins.document_store import MemoryDocumentStore, StoreFault
 
 WAIT_TIMEOUT_SECONDS = 5.0
 
 
-class RecordKeeperTest(unittest.TestCase):
+class CrashRecordWriterTest(unittest.TestCase):
     def setUp(self):
         self.store = MemoryDocumentStore()
         self.ledger = CrashLedger()
