--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -22,7 +22,7 @@
 )
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
-from runkeel.state.lapsed_documents import ExpiredDocuments
+from runkeel.state.expired_documents import ExpiredDocuments
 from runkeel.state.name_digest import NameDigest
 from runkeel.state.unreadable_documents import UnreadableDocuments
 
--- a/tests/coordination/test_expiry_fuzz.py
+++ b/tests/coordination/test_expiry_fuzz.py
@@ -7,7 +7,7 @@
 
 from runkeel.coordination.copy_comparison import CopyComparison
 from runkeel.state.document_watcher import DocumentWatcher
-from runkeel.state.lapsed_documents import ExpiredDocuments
+from runkeel.state.expired_documents import ExpiredDocuments
 from tests.coordination.expiry_machine import ExpiryMachine
 from tests.coordination.test_feed_fuzz import EXAMPLES, MUTANT_EXAMPLES, fuzz_settings
 from tests.fuzzing import find_violation
