--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -59,7 +59,7 @@
 from runkeel.usage.clock import SteadyWallClock
 from runkeel.usage.ledger import WindowSummary
 from runkeel.usage.meter import UsageMeter
-from runkeel.usage.teller import UsageReporter
+from runkeel.usage.usage_reporter import UsageReporter
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import (
     ItemRunProgress,
