--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -47,7 +47,7 @@
 from runkeel.jobs.partial_output_replication import PartialOutputCopies
 from runkeel.jobs.scorer import Scorer
 from runkeel.jobs.service import JobService
-from runkeel.lateness import LoopLagMonitor
+from runkeel.loop_lag import LoopLagMonitor
 from runkeel.quarantine.service import QuarantineService
 from runkeel.runners.service import RunnerService
 from runkeel.state.document_watcher import DocumentWatcher
