--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -34,7 +34,7 @@
 from runkeel.coordination.peers import LAST_RANK, PeerRegistry
 from runkeel.coordination.pings import PingSender
 from runkeel.coordination.succession import Succession
-from runkeel.coordination.tentative_place import STORE_CHECK_INTERVAL_SECONDS, TentativeTerm
+from runkeel.coordination.tentative_term import STORE_CHECK_INTERVAL_SECONDS, TentativeTerm
 from runkeel.coordination.witnesses import reached_by_others
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.handoff.keeper_quorum import KnownStorageNodes, StorageNode
