--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -15,7 +15,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, may_have_run, not_run
 from runkeel.gateway.backends import BackendDirectory, BackendState, choose_backend
-from runkeel.gateway.return_time import estimate_retry_after
+from runkeel.gateway.retry_after import estimate_retry_after
 from runkeel.metrics import ATTEMPTS
 from runkeel.quarantine.quarantine import Quarantine, WatchedRequest
 from runkeel.usage.meter import UsageMeter
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -16,7 +16,7 @@
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 from runkeel.gateway.backends import BackendDirectory, BackendState, choose_backend
 from runkeel.gateway.event_order import is_next_event
-from runkeel.gateway.return_time import estimate_retry_after
+from runkeel.gateway.retry_after import estimate_retry_after
 from runkeel.http.frontend import ResponseAbortedError
 from runkeel.metrics import ATTEMPTS
 from runkeel.quarantine.quarantine import Quarantine, WatchedRequest
--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_retry_after.py
@@ -9,7 +9,7 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway.backends import BASE_EJECTION_SECONDS
 from runkeel.gateway.forwarder import Forwarder
-from runkeel.gateway.return_time import (
+from runkeel.gateway.retry_after import (
     JITTER_FRACTION,
     MAX_RETRY_SECONDS,
     MIN_RETRY_SECONDS,
