--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -13,8 +13,8 @@
 from runkeel.backends.http_connection import HttpConnectionPool
 from runkeel.clock import steady_seconds
 from runkeel.gateway.backend_change_log import BackendChangeLog
+from runkeel.gateway.incarnation_tracker import IncarnationTracker, is_reported
 from runkeel.gateway.indexed_set import IndexedSet
-from runkeel.gateway.server_starts import IncarnationTracker, is_reported
 
 MAX_CANDIDATES = 16
 """Maximum number of servers considered per request, to bound the cost of the selection.
--- a/tests/gateway/starts_machine.py
+++ b/tests/gateway/incarnation_machine.py
@@ -14,7 +14,7 @@
 STARTS = st.sampled_from(["1000", "2000", "3000", "4000", "5000"])
 
 
-class StartsMachine(RuleBasedStateMachine):
+class IncarnationMachine(RuleBasedStateMachine):
     """Start times come in any order; one that is over is never accepted again."""
 
     def __init__(self):
--- a/tests/gateway/test_starts_fuzz.py
+++ b/tests/gateway/test_incarnation_fuzz.py
@@ -7,21 +7,21 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from runkeel.gateway import backends
-from runkeel.gateway.server_starts import IncarnationTracker
+from runkeel.gateway.incarnation_tracker import IncarnationTracker
 from tests.fuzzing import find_violation
-from tests.gateway.starts_machine import StartsMachine
+from tests.gateway.incarnation_machine import IncarnationMachine
 
 OPTIONS = settings(max_examples=150, stateful_step_count=25, deadline=None, derandomize=True)
 FEW = settings(max_examples=60, stateful_step_count=25, deadline=None, derandomize=True)
 
 
-class StartsFuzzTest(unittest.TestCase):
+class IncarnationFuzzTest(unittest.TestCase):
     def test_only_the_current_start_counts(self):
-        run_state_machine_as_test(StartsMachine, settings=OPTIONS)
+        run_state_machine_as_test(IncarnationMachine, settings=OPTIONS)
 
     def test_keeping_the_state_of_a_previous_start_is_detected(self):
         with mock.patch.object(backends, "_is_replacement", lambda known, backend: False):
-            self.assertIsNotNone(find_violation(StartsMachine, FEW))
+            self.assertIsNotNone(find_violation(IncarnationMachine, FEW))
 
     def test_accepting_an_update_of_a_previous_start_is_detected(self):
         resolve = IncarnationTracker.resolve
@@ -32,7 +32,7 @@
             return resolve(starts, backend, revision)
 
         with mock.patch.object(IncarnationTracker, "resolve", settle_without_history):
-            self.assertIsNotNone(find_violation(StartsMachine, FEW))
+            self.assertIsNotNone(find_violation(IncarnationMachine, FEW))
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_server_starts.py
+++ b/tests/gateway/test_incarnation_tracker.py
@@ -16,7 +16,7 @@
 from runkeel.errors import RunkeelError, Verdict
 from runkeel.gateway import backends
 from runkeel.gateway.backends import MAX_UNREADABLE_ENTRIES, BackendDirectory
-from runkeel.gateway.server_starts import MAX_PREVIOUS_STARTS
+from runkeel.gateway.incarnation_tracker import MAX_PREVIOUS_STARTS
 
 SERVICE = "ledger"
 ADDRESS = Address("127.0.0.1", 1)
@@ -29,7 +29,7 @@
     )
 
 
-class ServerStartsTest(unittest.TestCase):
+class IncarnationTrackerTest(unittest.TestCase):
     def setUp(self):
         self.directory = BackendDirectory()
         self.ended_states = []
--- a/tests/users_platform/test_servers_soak.py
+++ b/tests/users_platform/test_servers_soak.py
@@ -9,7 +9,7 @@
 from runkeel.api.documents import UnreadableDocumentError
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
-from runkeel.gateway.server_starts import IncarnationTracker
+from runkeel.gateway.incarnation_tracker import IncarnationTracker
 from runkeel_lab.users_platform import use_adapter
 from runkeel_lab.users_platform.servers_soak import ServersSoak
 
