--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -26,8 +26,8 @@
 from runkeel.jobs.item_runner import ItemRunner, failed_result
 from runkeel.jobs.item_task import ItemTask
 from runkeel.jobs.job_state import JobState
-from runkeel.jobs.kept_texts import RetainedOutputs
 from runkeel.jobs.length_estimates import LengthEstimates
+from runkeel.jobs.retained_outputs import RetainedOutputs
 from runkeel.jobs.run_mover import RunMover
 from runkeel.jobs.running_items import RunningItems
 from runkeel.jobs.scorer import Scorer
