--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -37,7 +37,7 @@
 from runkeel.coordination.tentative_term import STORE_CHECK_INTERVAL_SECONDS, TentativeTerm
 from runkeel.coordination.witnesses import reached_by_others
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.handoff.keeper_quorum import KnownStorageNodes, StorageNode
+from runkeel.handoff.storage_quorum import KnownStorageNodes, StorageNode
 from runkeel.metrics import COORDINATING
 from runkeel.state.document_watcher import (
     IDLE_PROBE_INTERVAL_SECONDS,
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -38,7 +38,7 @@
 from runkeel.handoff.hint_client import HintClient
 from runkeel.handoff.hint_log import HintLog
 from runkeel.handoff.hint_service import HintService
-from runkeel.handoff.keeper_quorum import LossTolerance, StorageQuorum
+from runkeel.handoff.storage_quorum import LossTolerance, StorageQuorum
 from runkeel.jobs.job_copies import ReceivedJobCopies
 from runkeel.jobs.job_documents import EncodedJob
 from runkeel.jobs.job_state import JobState
--- a/src/runkeel/handoff/__init__.py
+++ b/src/runkeel/handoff/__init__.py
@@ -8,5 +8,5 @@
 - :mod:`runkeel.handoff.hint_log`: hints on a storage node's disk;
 - :mod:`runkeel.handoff.hint_service`: the storage node, which keeps hints and hands them off;
 - :mod:`runkeel.handoff.hint_client`: the node that has received a job from its submitter;
-- :mod:`runkeel.handoff.keeper_quorum`: which sets of storage nodes are enough.
+- :mod:`runkeel.handoff.storage_quorum`: which sets of storage nodes are enough.
 """
--- a/src/runkeel/handoff/hint_client.py
+++ b/src/runkeel/handoff/hint_client.py
@@ -12,7 +12,7 @@
 
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError, Verdict
-from runkeel.handoff.keeper_quorum import KnownStorageNodes, StorageNode, StorageQuorum
+from runkeel.handoff.storage_quorum import KnownStorageNodes, StorageNode, StorageQuorum
 from runkeel.jobs.job_documents import EncodedJob, serialize_job
 from runkeel.wire.generated.common.ttypes import MessageType
 from runkeel.wire.generated.jobs.ttypes import (
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -17,7 +17,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
 from runkeel.fleet_node import FleetSettings
-from runkeel.handoff.keeper_quorum import LossTolerance
+from runkeel.handoff.storage_quorum import LossTolerance
 from runkeel_lab.users_platform import use_adapter
 from runkeel_lab.users_platform.crashes import CrashPlan
 from runkeel_lab.users_platform.duty_server import DutyServer
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -15,7 +15,7 @@
 from runkeel.handoff.hint_client import HintClient, HintLookupResult, HintOutcome
 from runkeel.handoff.hint_log import HintLog
 from runkeel.handoff.hint_service import HintService
-from runkeel.handoff.keeper_quorum import (
+from runkeel.handoff.storage_quorum import (
     KnownStorageNodes,
     LossTolerance,
     StorageNode,
--- a/tests/handoff/test_keeper_quorum.py
+++ b/tests/handoff/test_storage_quorum.py
@@ -6,7 +6,7 @@
 import hypothesis.strategies as st
 from hypothesis import given, seed, settings
 
-from runkeel.handoff.keeper_quorum import LossTolerance, StorageNode, StorageQuorum
+from runkeel.handoff.storage_quorum import LossTolerance, StorageNode, StorageQuorum
 from tests.fuzzing import SEED_COUNT
 
 ZONES = ("a", "b", "c", "d")
@@ -18,7 +18,7 @@
     return [StorageNode(name, name[0]) for name in names]
 
 
-class KeeperQuorumTest(unittest.TestCase):
+class StorageQuorumTest(unittest.TestCase):
     def test_nodes_of_one_zone_are_not_enough_when_a_zone_may_be_lost(self):
         """A partitioned zone must not accept a job on its own that others then deny."""
         quorum = StorageQuorum(LossTolerance(2, 1))
