--- a/Makefile
+++ b/Makefile
@@ -31,7 +31,7 @@
 	sh wire/generate.sh
 
 # Free-running fuzzing: new examples on every run.
-FUZZ_TESTS := tests.coordination.test_feed_fuzz.FeedFuzzTest.test_contract_holds tests.jobs.test_text_fuzz.TextFuzzTest.test_contract_holds
+FUZZ_TESTS := tests.coordination.test_feed_fuzz.FeedFuzzTest.test_contract_holds tests.jobs.test_partial_output_fuzz.PartialOutputFuzzTest.test_contract_holds
 FUZZ_EXAMPLES ?= 2000
 
 fuzz: setup
--- a/tests/jobs/text_machine.py
+++ b/tests/jobs/partial_output_machine.py
@@ -47,7 +47,7 @@
         return reply
 
 
-class TextMachine(RuleBasedStateMachine):
+class PartialOutputMachine(RuleBasedStateMachine):
     """A coordinator and a successor, both with journals."""
 
     def __init__(self):
--- a/tests/jobs/test_text_fuzz.py
+++ b/tests/jobs/test_partial_output_fuzz.py
@@ -10,7 +10,7 @@
 
 from runkeel.jobs import partial_output_journal, partial_output_replication
 from tests.fuzzing import find_violation
-from tests.jobs.text_machine import TextMachine
+from tests.jobs.partial_output_machine import PartialOutputMachine
 
 FREE_RUNNING = "RUNKEEL_FUZZ_EXAMPLES" in os.environ
 EXAMPLES = int(os.environ.get("RUNKEEL_FUZZ_EXAMPLES", "60"))
@@ -43,13 +43,13 @@
 make_update = partial_output_replication.make_update
 
 
-class TextFuzzTest(unittest.TestCase):
+class PartialOutputFuzzTest(unittest.TestCase):
     def test_contract_holds(self):
-        run_state_machine_as_test(TextMachine, settings=fuzz_settings(EXAMPLES))
+        run_state_machine_as_test(PartialOutputMachine, settings=fuzz_settings(EXAMPLES))
 
     def check_found(self, target, name, mutant):
         with mock.patch.object(target, name, mutant):
-            violation = find_violation(TextMachine, fuzz_settings(MUTANT_EXAMPLES))
+            violation = find_violation(PartialOutputMachine, fuzz_settings(MUTANT_EXAMPLES))
         self.assertIsNotNone(violation)
 
     def test_joined_runs_are_found(self):
@@ -65,7 +65,7 @@
 
         with mock.patch.object(partial_output_journal, "_checksum", ignore_checksum):
             # Decompression still detects a truncated record.
-            run_state_machine_as_test(TextMachine, settings=fuzz_settings(EXAMPLES // 3))
+            run_state_machine_as_test(PartialOutputMachine, settings=fuzz_settings(EXAMPLES // 3))
 
 
 if __name__ == "__main__":
