--- a/src/runkeel/api/duties.py
+++ b/src/runkeel/api/usage.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DutyHolder:
+class LeaseHolder:
     """Node that makes a duty's calls; the fencing token increases with each change of holder."""
 
     name: str
@@ -40,13 +40,13 @@
     late_seconds: float
 
 
-class DutyPlatform(Protocol):
+class UsageSink(Protocol):
     """Calls to the platform. Every method raises RunkeelError when a call was not accepted."""
 
     def report_usage(
         self,
         report: UsageReport,
-        holder: DutyHolder,
+        holder: LeaseHolder,
         timeout_seconds: float,
         before_send: Callable[[], None],
     ) -> None:
--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -10,7 +10,7 @@
 
 from runkeel.api.backend_protocol import BackendProtocol
 from runkeel.api.documents import Document, DocumentKind, DocumentParser, DocumentStore
-from runkeel.api.duties import DutyPlatform, UsageSettings
+from runkeel.api.usage import UsageSettings, UsageSink
 from runkeel.coordination.election import Election
 from runkeel.coordination.order_lease import OrderLease
 from runkeel.coordination.version_rollout import VersionRollout
@@ -52,7 +52,7 @@
     """
 
     settings: UsageSettings
-    platform: DutyPlatform
+    usage_sink: UsageSink
     clock: Callable[[], float]
 
 
@@ -333,7 +333,7 @@
         dependencies.shard,
         epoch,
         usage.settings,
-        usage.platform,
+        usage.usage_sink,
         dependencies.lease,
         dependencies.node_id,
         usage.clock,
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -18,9 +18,9 @@
     DocumentStore,
     Freshness,
 )
-from runkeel.api.duties import DutyPlatform, UsageSettings
 from runkeel.api.fleet import Backend
 from runkeel.api.machines import Address
+from runkeel.api.usage import UsageSettings, UsageSink
 from runkeel.coordination.coordinator_document import Coordinator
 from runkeel.coordination.document_feed import (
     DocumentFeed,
@@ -150,7 +150,7 @@
         store: DocumentStore,
         translator: DocumentParser,
         protocol: BackendProtocol,
-        duties: DutyPlatform | None = None,
+        usage_sink: UsageSink | None = None,
     ) -> None:
         # The callbacks below use attributes such as ``_election`` and ``_term`` that are set later
         # in this constructor; none is called before they are.
@@ -300,7 +300,7 @@
             self._election,
             self._journal,
             self.leave,
-            UsageDependencies(usage, duties, clock.time) if usage and duties else None,
+            UsageDependencies(usage, usage_sink, clock.time) if usage and usage_sink else None,
         )
         self._usage_reporter = UsageReporter(
             self._network,
--- a/src/runkeel/usage/duty.py
+++ b/src/runkeel/usage/duty.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from runkeel.api.documents import Document, DocumentConflictError, DocumentKind, DocumentStore
-from runkeel.api.duties import DutyHolder, DutyPlatform, UsageReport, UsageSettings
+from runkeel.api.usage import LeaseHolder, UsageReport, UsageSettings, UsageSink
 from runkeel.clock import steady_seconds
 from runkeel.coordination.order_lease import OrderLease
 from runkeel.errors import RunkeelError
@@ -89,7 +89,7 @@
         name: str,
         epoch: int,
         settings: UsageSettings,
-        platform: DutyPlatform,
+        usage_sink: UsageSink,
         lease: OrderLease,
         holder: str,
         clock: Callable[[], float],
@@ -101,7 +101,7 @@
         self._name = name
         self._epoch = epoch
         self._settings = settings
-        self._platform = platform
+        self._usage_sink = usage_sink
         self._lease = lease
         self._holder = holder
         self._clock = clock
@@ -329,9 +329,9 @@
             if wait > 0:
                 gevent.sleep(wait)
                 self._lease.confirm()
-            holder = DutyHolder(self._holder, self._lease.token)
+            holder = LeaseHolder(self._holder, self._lease.token)
             report = UsageReport(window, self._reportable[window])
-            self._platform.report_usage(report, holder, REPORT_TIMEOUT_SECONDS, self._lease.check)
+            self._usage_sink.report_usage(report, holder, REPORT_TIMEOUT_SECONDS, self._lease.check)
         except RunkeelError as error:
             USAGE_REPORTS.labels(str(error.code)).inc()
             logger.info(
--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from runkeel.api.duties import UsageSettings
+from runkeel.api.usage import UsageSettings
 from runkeel.clock import steady_seconds
 from runkeel_lab.day_picture import RunChart
 from runkeel_lab.users_platform.deployment import (
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -11,8 +11,8 @@
 
 import gevent
 
-from runkeel.api.duties import UsageSettings
 from runkeel.api.machines import Address
+from runkeel.api.usage import UsageSettings
 from runkeel.backends.http_connection import HttpConnectionPool, HttpResponse, OutgoingRequest
 from runkeel.clock import steady_seconds
 from runkeel.errors import RunkeelError
--- a/tests/usage/test_duty.py
+++ b/tests/usage/test_duty.py
@@ -5,7 +5,7 @@
 import gevent
 
 from runkeel.api.documents import DocumentKind
-from runkeel.api.duties import UsageSettings
+from runkeel.api.usage import UsageSettings
 from runkeel.coordination.order_lease import OrderLease
 from runkeel.errors import ErrorCode, may_have_run
 from runkeel.usage import duty as usage_duty
--- a/tests/usage/usage_machine.py
+++ b/tests/usage/usage_machine.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from runkeel.api.documents import DocumentKind
-from runkeel.api.duties import UsageSettings
+from runkeel.api.usage import UsageSettings
 from runkeel.errors import ErrorCode, may_have_run
 from runkeel.usage.duty import UsageDuty
 from runkeel.usage.ledger import UsageLedger
--- a/tests/users_platform/test_operator_queries.py
+++ b/tests/users_platform/test_operator_queries.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from runkeel.api.duties import UsageSettings
+from runkeel.api.usage import UsageSettings
 from runkeel.errors import ErrorCode, RunkeelError, Verdict
 from runkeel.operators.client import OperatorClient
 from runkeel.operators.ctl import ExitCode, run_ctl
--- a/tests/users_platform/test_usage.py
+++ b/tests/users_platform/test_usage.py
@@ -3,7 +3,7 @@
 import time
 import unittest
 
-from runkeel.api.duties import UsageSettings
+from runkeel.api.usage import UsageSettings
 from runkeel_lab.users_platform.deployment import COUNT_PREFIX, key_header, tenant
 from tests.users_platform.deployment_case import DeploymentTestCase
 
