--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -31,7 +31,7 @@
 from runkeel.runners.lease import MAX_LOCAL_RUNS, RUNNER_LOST_SECONDS
 from runkeel.runners.pool import RunnerPool
 from runkeel.state.document_watcher import DocumentWatcher
-from runkeel.usage.duty import UsageDuty
+from runkeel.usage.usage_aggregator import UsageAggregator
 from runkeel.wire.network import PeerNetwork
 
 TERM_WATCH_SECONDS = 2.0
@@ -174,7 +174,7 @@
         self.usage = (
             None
             if dependencies.usage is None
-            else _create_usage_duty(dependencies, dependencies.usage, epoch)
+            else _create_usage_aggregator(dependencies, dependencies.usage, epoch)
         )
         self._watchers = [
             DocumentWatcher(
@@ -325,10 +325,10 @@
                 gevent.sleep(_RETIREMENT_RETRY_SECONDS)
 
 
-def _create_usage_duty(
+def _create_usage_aggregator(
     dependencies: TermDependencies, usage: UsageDependencies, epoch: int
-) -> UsageDuty:
-    return UsageDuty(
+) -> UsageAggregator:
+    return UsageAggregator(
         dependencies.store,
         dependencies.shard,
         epoch,
--- a/src/runkeel/usage/duty.py
+++ b/src/runkeel/usage/usage_aggregator.py
@@ -67,7 +67,7 @@
     complete_before: float
 
 
-class UsageDuty:
+class UsageAggregator:
     """Decides and reports each tenant's usage per time window while this node is the coordinator.
 
     Nodes send their counts of requests. A window is decided, which fixes its counts, once all
--- a/tests/usage/test_duty.py
+++ b/tests/usage/test_usage_aggregator.py
@@ -1,4 +1,4 @@
-"""Tests of the coordinator's usage duty: ledger, one-time decisions and reports."""
+"""Tests of the coordinator's usage aggregator: ledger, one-time decisions and reports."""
 
 import unittest
 
@@ -8,9 +8,9 @@
 from runkeel.api.usage import UsageSettings
 from runkeel.coordination.order_lease import OrderLease
 from runkeel.errors import ErrorCode, may_have_run
-from runkeel.usage import duty as usage_duty
-from runkeel.usage.duty import UsageDuty
+from runkeel.usage import usage_aggregator
 from runkeel.usage.ledger import UsageLedger
+from runkeel.usage.usage_aggregator import UsageAggregator
 from runkeel.wire.generated.jobs.ttypes import UsageCounts, UsageWindow
 from runkeel_lab.standins.document_store import MemoryDocumentStore, StoreFault
 
@@ -64,15 +64,15 @@
         self.assertEqual(UsageLedger.decode(ledger.encode()), ledger)
 
 
-class DutyTest(unittest.TestCase):
+class UsageAggregatorTest(unittest.TestCase):
     def setUp(self):
         self.store = MemoryDocumentStore()
         self.platform = Platform()
         self.now = FIRST * 5.0 + 1.0
 
-    def duty(self, epoch, node="n"):
+    def aggregator(self, epoch, node="n"):
         lease = OrderLease(self.store, SHARD, node, 0.0)
-        duty = UsageDuty(
+        aggregator = UsageAggregator(
             self.store,
             SHARD,
             epoch,
@@ -83,14 +83,16 @@
             lambda: self.now,
             lambda: 3,
         )
-        self.addCleanup(duty.stop)
-        duty.start()
-        return duty
+        self.addCleanup(aggregator.stop)
+        aggregator.start()
+        return aggregator
 
-    def send_counts(self, duty, source, windows, complete=None):
+    def send_counts(self, aggregator, source, windows, complete=None):
         usage_windows = [UsageWindow(number, counts) for number, counts in windows.items()]
         complete = self.now if complete is None else complete
-        return duty.merge_counts(UsageCounts(SHARD, 1, source, usage_windows, int(complete * 1000)))
+        return aggregator.merge_counts(
+            UsageCounts(SHARD, 1, source, usage_windows, int(complete * 1000))
+        )
 
     def wait_until(self, condition):
         with gevent.Timeout(5.0):
@@ -105,66 +107,66 @@
         return UsageLedger.decode(document.content) if document is not None else UsageLedger()
 
     def test_window_is_reported_once_complete(self):
-        duty = self.duty(1)
-        self.send_counts(duty, "x", {FIRST + 1: {"a": 2}})
-        self.send_counts(duty, "y", {FIRST + 1: {"b": 1}})
+        aggregator = self.aggregator(1)
+        self.send_counts(aggregator, "x", {FIRST + 1: {"a": 2}})
+        self.send_counts(aggregator, "y", {FIRST + 1: {"b": 1}})
         self.now = (FIRST + 2) * 5.0 + 1.0
-        self.send_counts(duty, "x", {}, self.now)
+        self.send_counts(aggregator, "x", {}, self.now)
         gevent.sleep(0.3)
         self.assertEqual(self.reported(FIRST + 1), [])
-        self.send_counts(duty, "y", {FIRST + 1: {"b": 2}}, self.now)
+        self.send_counts(aggregator, "y", {FIRST + 1: {"b": 2}}, self.now)
         self.wait_until(lambda: self.reported(FIRST + 1))
         self.assertEqual(self.reported(FIRST + 1), [{"a": 2, "b": 2}])
         # The first window began before the term, so it is decided only when due, without counts.
         self.assertEqual(self.reported(FIRST), [{}])
 
     def test_window_is_decided_in_time_despite_a_silent_source(self):
-        duty = self.duty(1)
-        self.send_counts(duty, "x", {FIRST: {"a": 2}})
+        aggregator = self.aggregator(1)
+        self.send_counts(aggregator, "x", {FIRST: {"a": 2}})
         self.now = (FIRST + 1) * 5.0 + 5.1
         self.wait_until(lambda: self.reported(FIRST))
         self.assertEqual(self.reported(FIRST), [{"a": 2}])
 
     def test_counts_survive_loss_of_node_and_coordinator(self):
-        duty = self.duty(1)
-        self.send_counts(duty, "x", {FIRST: {"a": 2}})
+        aggregator = self.aggregator(1)
+        self.send_counts(aggregator, "x", {FIRST: {"a": 2}})
         self.wait_until(lambda: FIRST in self.stored().open)
-        duty.stop()
-        duty = self.duty(2, "other")
-        self.send_counts(duty, "y", {FIRST: {"a": 1}})
+        aggregator.stop()
+        aggregator = self.aggregator(2, "other")
+        self.send_counts(aggregator, "y", {FIRST: {"a": 1}})
         self.now = (FIRST + 1) * 5.0 + 5.1
         self.wait_until(lambda: self.reported(FIRST))
         self.assertEqual(self.reported(FIRST), [{"a": 3}])
 
     def test_new_coordinator_reports_the_decided_counts(self):
         self.platform.lost = 1_000
-        duty = self.duty(1)
-        self.send_counts(duty, "x", {FIRST: {"a": 2}})
+        aggregator = self.aggregator(1)
+        self.send_counts(aggregator, "x", {FIRST: {"a": 2}})
         self.now = (FIRST + 1) * 5.0 + 5.1
         self.wait_until(lambda: self.reported(FIRST))
-        duty.stop()
+        aggregator.stop()
         self.platform.lost = 0
-        duty = self.duty(2, "other")
-        self.send_counts(duty, "x", {FIRST: {"a": 5}})
+        aggregator = self.aggregator(2, "other")
+        self.send_counts(aggregator, "x", {FIRST: {"a": 5}})
         self.wait_until(lambda: self.platform.reports[-1][2] == "other")
         self.assertEqual({tuple(counts.items()) for counts in self.reported(FIRST)}, {(("a", 2),)})
         tokens = [token for *_, token in self.platform.reports]
         self.assertEqual(tokens, sorted(tokens))
 
     def test_lost_store_response_does_not_change_the_decision(self):
-        duty = self.duty(1)
-        self.send_counts(duty, "x", {FIRST: {"a": 2}})
+        aggregator = self.aggregator(1)
+        self.send_counts(aggregator, "x", {FIRST: {"a": 2}})
         self.wait_until(lambda: FIRST in self.stored().open)
         self.store.fail_next_write(StoreFault.RESPONSE_LOST, 2)
         self.now = (FIRST + 1) * 5.0 + 5.1
         self.wait_until(lambda: self.stored().decided_through >= FIRST)
-        self.send_counts(duty, "x", {FIRST: {"a": 9}})
+        self.send_counts(aggregator, "x", {FIRST: {"a": 9}})
         self.wait_until(lambda: self.reported(FIRST))
         self.assertEqual(self.reported(FIRST), [{"a": 2}])
 
     def test_only_persisted_decisions_are_reported(self):
-        duty = self.duty(1)
-        self.send_counts(duty, "x", {FIRST: {"a": 2}})
+        aggregator = self.aggregator(1)
+        self.send_counts(aggregator, "x", {FIRST: {"a": 2}})
         self.wait_until(lambda: FIRST in self.stored().open)
         self.store.down = True
         self.now = (FIRST + 1) * 5.0 + 5.1
@@ -174,10 +176,10 @@
         self.wait_until(lambda: self.reported(FIRST))
 
     def test_superseded_coordinator_reports_nothing(self):
-        earlier = self.duty(1)
+        earlier = self.aggregator(1)
         self.send_counts(earlier, "x", {FIRST: {"a": 2}})
         self.wait_until(lambda: FIRST in self.stored().open)
-        later = self.duty(2, "other")
+        later = self.aggregator(2, "other")
         self.wait_until(lambda: self.stored().epoch == 2)
         self.send_counts(earlier, "x", {FIRST: {"a": 4}})
         self.now = (FIRST + 1) * 5.0 + 5.1
@@ -186,9 +188,9 @@
         self.assertEqual(self.reported(FIRST), [later.ledger.decided[FIRST]])
 
     def test_large_fleet_sends_counts_less_often(self):
-        duty = self.duty(1)
-        duty._nodes = lambda: 2 * usage_duty.MAX_UPDATES_PER_SECOND
-        self.assertEqual(self.send_counts(duty, "x", {}).pause_ms, 2_000)
+        aggregator = self.aggregator(1)
+        aggregator._nodes = lambda: 2 * usage_aggregator.MAX_UPDATES_PER_SECOND
+        self.assertEqual(self.send_counts(aggregator, "x", {}).pause_ms, 2_000)
 
 
 if __name__ == "__main__":
--- a/tests/usage/test_usage_fuzz.py
+++ b/tests/usage/test_usage_fuzz.py
@@ -5,9 +5,9 @@
 
 from hypothesis.stateful import run_state_machine_as_test
 
-from runkeel.usage import duty as usage_duty
-from runkeel.usage.duty import UsageDuty
+from runkeel.usage import usage_aggregator
 from runkeel.usage.ledger import UsageLedger
+from runkeel.usage.usage_aggregator import UsageAggregator
 from tests.coordination.test_feed_fuzz import EXAMPLES, MUTANT_EXAMPLES, fuzz_settings
 from tests.fuzzing import find_violation
 from tests.usage.usage_machine import UsageMachine
@@ -30,7 +30,7 @@
     return decided
 
 
-decide_due = UsageDuty._decide_due
+decide_due = UsageAggregator._decide_due
 
 
 def resolve_conflict_by_overwriting(self, conflict):
@@ -45,12 +45,12 @@
     self._ledger.open.clear()
 
 
-adopt = UsageDuty._adopt
+adopt = UsageAggregator._adopt
 
 
 class UsageFuzzTest(unittest.TestCase):
     def setUp(self):
-        patch = mock.patch.object(usage_duty.gevent, "sleep", lambda seconds: None)
+        patch = mock.patch.object(usage_aggregator.gevent, "sleep", lambda seconds: None)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -66,13 +66,13 @@
         self.assert_detected(UsageLedger, "merge", merge_by_addition)
 
     def test_unpersisted_reports_are_detected(self):
-        self.assert_detected(UsageDuty, "_decide_due", decide_before_persisting)
+        self.assert_detected(UsageAggregator, "_decide_due", decide_before_persisting)
 
     def test_overwritten_decisions_are_detected(self):
-        self.assert_detected(UsageDuty, "_resolve_conflict", resolve_conflict_by_overwriting)
+        self.assert_detected(UsageAggregator, "_resolve_conflict", resolve_conflict_by_overwriting)
 
     def test_lost_counts_are_detected(self):
-        self.assert_detected(UsageDuty, "_adopt", adopt_without_open_counts)
+        self.assert_detected(UsageAggregator, "_adopt", adopt_without_open_counts)
 
 
 if __name__ == "__main__":
--- a/tests/usage/usage_machine.py
+++ b/tests/usage/usage_machine.py
@@ -12,9 +12,9 @@
 from runkeel.api.documents import DocumentKind
 from runkeel.api.usage import UsageSettings
 from runkeel.errors import ErrorCode, may_have_run
-from runkeel.usage.duty import UsageDuty
 from runkeel.usage.ledger import UsageLedger
 from runkeel.usage.meter import UsageMeter
+from runkeel.usage.usage_aggregator import UsageAggregator
 from runkeel.wire.generated.jobs.ttypes import UsageCounts, UsageWindow
 from runkeel_lab.standins.document_store import MemoryDocumentStore, StoreFault
 
@@ -68,7 +68,7 @@
         self.platform = _Platform()
         self.sources = 0
         self.nodes = [self._new_node() for _ in range(NODES)]
-        self.duties = []
+        self.aggregators = []
         self.actual_counts = {}
         self.persisted_counts = {}
         """Counts that have been in the store, by window, source and tenant."""
@@ -83,8 +83,8 @@
 
     @rule()
     def elect(self):
-        epoch = len(self.duties) + 1
-        duty = UsageDuty(
+        epoch = len(self.aggregators) + 1
+        aggregator = UsageAggregator(
             self.store,
             SHARD,
             epoch,
@@ -95,8 +95,8 @@
             lambda: self.now,
             lambda: NODES,
         )
-        duty._load()
-        self.duties.append(duty)
+        aggregator._load()
+        self.aggregators.append(aggregator)
 
     @rule(number=node_numbers, tenant=strategies.sampled_from(TENANTS))
     def request(self, number, tenant):
@@ -118,7 +118,7 @@
         source, meter = self.nodes[number]
         windows = [UsageWindow(one, counts) for one, counts in meter.windows().items()]
         complete = int(meter.complete_before * 1000)
-        self._duty(term).merge_counts(UsageCounts(SHARD, 1, source, windows, complete))
+        self._aggregator(term).merge_counts(UsageCounts(SHARD, 1, source, windows, complete))
 
     @rule(term=terms, fault=faults, lost=strategies.booleans())
     def take_turn(self, term, fault, lost):
@@ -129,23 +129,23 @@
     @rule(term=terms, fault=faults)
     def update_ledger(self, term, fault):
         """Let a coordinator decide due windows and write its ledger."""
-        duty = self._duty(term)
-        decided = duty._decide_due()
+        aggregator = self._aggregator(term)
+        decided = aggregator._decide_due()
         if fault is not None:
             self.store.fail_next_write(fault)
-        if decided or duty._dirty:
-            duty._write()
+        if decided or aggregator._dirty:
+            aggregator._write()
         self.store._faults.clear()
 
     @rule(term=terms, lost=strategies.booleans())
     def report(self, term, lost):
-        duty = self._duty(term)
+        aggregator = self._aggregator(term)
         self.platform.lost = lost
-        if duty._reportable:
-            duty._report(min(duty._reportable))
+        if aggregator._reportable:
+            aggregator._report(min(aggregator._reportable))
 
-    def _duty(self, term):
-        return self.duties[max(0, len(self.duties) - 1 - term)]
+    def _aggregator(self, term):
+        return self.aggregators[max(0, len(self.aggregators) - 1 - term)]
 
     @invariant()
     def reported_requests_did_run(self):
