--- a/src/runkeel/api/jobs.py
+++ b/src/runkeel/api/jobs.py
@@ -32,7 +32,8 @@
         body: in base64, as submitted.
         tokens: prompt tokens plus the maximum of generated tokens.
         group: items of a group share a prompt and are needed together.
-        guessed_tokens: the caller's estimate of the tokens to generate, often inaccurate; 0: none.
+        estimated_tokens: the caller's estimate of the tokens to generate, often inaccurate; 0:
+            none.
     """
 
     item_id: str
@@ -42,7 +43,7 @@
     tokens: int = 0
     group: str = ""
     scorer: ScorerCall | None = None
-    guessed_tokens: int = 0
+    estimated_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -189,8 +189,8 @@
         "tokens": item.tokens,
         "group": item.group,
     }
-    if item.guessed_tokens:
-        encoded["guessed_tokens"] = item.guessed_tokens
+    if item.estimated_tokens:
+        encoded["guessed_tokens"] = item.estimated_tokens
     if item.scorer is not None:
         scorer = item.scorer
         encoded["scorer"] = [scorer.request_id, scorer.host, scorer.path, scorer.body]
@@ -207,5 +207,5 @@
         tokens=int(content["tokens"]),
         group=content["group"],
         scorer=ScorerCall(*scorer) if scorer else None,
-        guessed_tokens=int(content.get("guessed_tokens", 0)),
+        estimated_tokens=int(content.get("guessed_tokens", 0)),
     )
--- a/src/runkeel/jobs/length_estimates.py
+++ b/src/runkeel/jobs/length_estimates.py
@@ -1,7 +1,8 @@
 """Estimates the number of events that a generation will still produce.
 
-Callers supply a guess of each generation's tokens. The ratio of events to tokens is learned from
-completed generations; a generation that exceeds its guess is extrapolated from its own length.
+Callers supply an estimate of each generation's tokens. The ratio of events to tokens is learned
+from completed generations; a generation that exceeds its estimate is extrapolated from its own
+length.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
     def __init__(self) -> None:
         self._events = 0.0
-        self._guessed_tokens = 0.0
+        self._estimated_tokens = 0.0
         self._generations = 0.0
 
     @property
@@ -29,30 +30,30 @@
         """Mean length of completed generations, in events; recent ones weigh more."""
         return self._events / self._generations if self._generations else DEFAULT_EVENTS
 
-    def observe(self, guessed_tokens: int, events: int) -> None:
-        """Record the length of a completed generation; ignored without a guess."""
-        if guessed_tokens <= 0:
+    def observe(self, estimated_tokens: int, events: int) -> None:
+        """Record the length of a completed generation; ignored without an estimate."""
+        if estimated_tokens <= 0:
             return
         self._events += events
-        self._guessed_tokens += guessed_tokens
+        self._estimated_tokens += estimated_tokens
         self._generations += 1.0
         if self._events > HALVING_EVENTS:
             self._events /= 2
-            self._guessed_tokens /= 2
+            self._estimated_tokens /= 2
             self._generations /= 2
 
-    def remaining_events(self, guessed_tokens: int, events: int) -> float:
+    def remaining_events(self, estimated_tokens: int, events: int) -> float:
         """Return the expected number of events still to be generated.
 
         Args:
-            guessed_tokens: the caller's guess for the whole generation; 0: none.
+            estimated_tokens: the caller's estimate for the whole generation; 0: none.
             events: number generated so far.
         """
         expected = self.typical_events
-        if guessed_tokens > 0 and self._guessed_tokens:
-            expected = guessed_tokens * self._events / self._guessed_tokens
+        if estimated_tokens > 0 and self._estimated_tokens:
+            expected = estimated_tokens * self._events / self._estimated_tokens
         return max(expected - events, OVERRUN_FRACTION * events)
 
-    def relative_length(self, guessed_tokens: int, events: int) -> float:
+    def relative_length(self, estimated_tokens: int, events: int) -> float:
         """Return the expected remaining length as a multiple of a typical generation."""
-        return self.remaining_events(guessed_tokens, events) / self.typical_events
+        return self.remaining_events(estimated_tokens, events) / self.typical_events
--- a/src/runkeel/jobs/run_mover.py
+++ b/src/runkeel/jobs/run_mover.py
@@ -61,11 +61,11 @@
 
     def remaining_events(self, task: ItemTask) -> float:
         """Return the expected number of events still to be generated for an item."""
-        return self._lengths.remaining_events(task.item.guessed_tokens, len(task.partial.pieces))
+        return self._lengths.remaining_events(task.item.estimated_tokens, len(task.partial.pieces))
 
     def relative_length(self, task: ItemTask) -> float:
         """Return the expected remaining length as a multiple of a typical generation."""
-        return self._lengths.relative_length(task.item.guessed_tokens, len(task.partial.pieces))
+        return self._lengths.relative_length(task.item.estimated_tokens, len(task.partial.pieces))
 
     def move_from_slow_engines(self, tasks: Iterable[ItemTask]) -> None:
         """Move items from slower engines, the longest first, while faster ones have free slots."""
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -434,7 +434,7 @@
         finally:
             self._placement.release(engine)
         if outcome is RunOutcome.COMPLETE:
-            self._lengths.observe(task.item.guessed_tokens, len(task.partial.pieces))
+            self._lengths.observe(task.item.estimated_tokens, len(task.partial.pieces))
         return outcome
 
     def _handle_incomplete_run(self, task: ItemTask, route: Route, outcome: RunOutcome) -> None:
--- a/tests/jobs/test_length_estimates.py
+++ b/tests/jobs/test_length_estimates.py
@@ -11,7 +11,7 @@
         self.assertEqual(lengths.remaining_events(500, 5), DEFAULT_EVENTS - 5)
         self.assertEqual(lengths.relative_length(500, 0), 1.0)
 
-    def test_guessed_tokens_are_converted_to_events(self):
+    def test_estimated_tokens_are_converted_to_events(self):
         lengths = LengthEstimates()
         lengths.observe(500, 10)
         lengths.observe(1500, 30)
@@ -19,13 +19,13 @@
         self.assertAlmostEqual(lengths.remaining_events(2000, 15), 25.0)
         self.assertAlmostEqual(lengths.relative_length(2000, 0), 2.0)
 
-    def test_without_a_guess_a_generation_is_typical(self):
+    def test_without_an_estimate_a_generation_is_typical(self):
         lengths = LengthEstimates()
         lengths.observe(500, 10)
         lengths.observe(1500, 30)
         self.assertAlmostEqual(lengths.remaining_events(0, 0), 20.0)
 
-    def test_generation_that_exceeds_its_guess_is_expected_to_continue(self):
+    def test_generation_that_exceeds_its_estimate_is_expected_to_continue(self):
         lengths = LengthEstimates()
         lengths.observe(500, 10)
         self.assertAlmostEqual(lengths.remaining_events(500, 100), 50.0)
--- a/tests/jobs/test_run_mover.py
+++ b/tests/jobs/test_run_mover.py
@@ -67,8 +67,8 @@
                 steady_seconds() - 1 + second,
             )
 
-    def _running(self, engine, guessed_tokens, events=5):
-        item = replace(self.state.job.items[0], guessed_tokens=guessed_tokens)
+    def _running(self, engine, estimated_tokens, events=5):
+        item = replace(self.state.job.items[0], estimated_tokens=estimated_tokens)
         task = ItemTask(self.state, item, engine=self.engines[engine], run=Run(events))
         task.partial.pieces.extend("x" * events)
         self.placement.acquire_slot(self.engines[engine])
