--- a/src/runkeel/api/jobs.py
+++ b/src/runkeel/api/jobs.py
@@ -54,7 +54,7 @@
         path: path that it was submitted to; host and path determine its route.
         submitted_at: seconds since the epoch.
         minimum_version: oldest weight version that may generate its tokens.
-        wanted_groups: number of complete groups that the trainer waits for.
+        required_groups: number of complete groups that the trainer waits for.
         tenant: tenant that owns the job; empty: none.
     """
 
@@ -65,7 +65,7 @@
     items: tuple[JobItem, ...]
     model: str = ""
     minimum_version: int = 0
-    wanted_groups: int = 0
+    required_groups: int = 0
     step: int = 0
     tenant: str = ""
 
--- a/src/runkeel/jobs/job_documents.py
+++ b/src/runkeel/jobs/job_documents.py
@@ -98,7 +98,7 @@
         "submitted_at": job.submitted_at,
         "model": job.model,
         "minimum_version": job.minimum_version,
-        "wanted_groups": job.wanted_groups,
+        "wanted_groups": job.required_groups,
         "step": job.step,
         "item_count": len(job.items),
         "tenant": job.tenant,
@@ -138,7 +138,7 @@
         items=tuple(_decode_item(item) for item in items),
         model=content["model"],
         minimum_version=int(content["minimum_version"]),
-        wanted_groups=int(content["wanted_groups"]),
+        required_groups=int(content["wanted_groups"]),
         step=int(content["step"]),
         tenant=job_tenant(content),
     )
--- a/src/runkeel/jobs/job_state.py
+++ b/src/runkeel/jobs/job_state.py
@@ -43,7 +43,7 @@
         self.ended = False
         self.ready = Event()
         """Set while there are unlisted results, and once the job is unloaded."""
-        self.wanted_groups_complete = Event()
+        self.required_groups_complete = Event()
         """Set once as many groups as the trainer waits for have results for all their items."""
         self._unfinished_in_group = Counter(item.group for item in job.items)
         self._items_with_result: set[str] = set()
@@ -60,10 +60,10 @@
         return len(self._listed) >= len(self.items)
 
     @property
-    def wanted_groups_share(self) -> float:
+    def required_groups_share(self) -> float:
         """Ratio of complete groups to those that the trainer waits for; 1 if it waits for none."""
-        wanted = self.job.wanted_groups
-        return self._complete_groups / wanted if wanted > 0 else 1.0
+        required = self.job.required_groups
+        return self._complete_groups / required if required > 0 else 1.0
 
     def is_listed(self, item_id: str) -> bool:
         """Return whether an item's result is listed, or reported as listed."""
@@ -139,8 +139,8 @@
         self._unfinished_in_group[item.group] -= 1
         if not self._unfinished_in_group[item.group]:
             self._complete_groups += 1
-        if self._complete_groups >= self.job.wanted_groups > 0:
-            self.wanted_groups_complete.set()
+        if self._complete_groups >= self.job.required_groups > 0:
+            self.required_groups_complete.set()
 
     def _notify_readers(self) -> None:
         self._changed.set()
--- a/src/runkeel/jobs/result_writer.py
+++ b/src/runkeel/jobs/result_writer.py
@@ -78,14 +78,14 @@
                 return
             if len(state.results) + len(state.unlisted) < len(state.items):
                 # No batching once all groups that the trainer waits for are complete.
-                state.wanted_groups_complete.wait(self._batch_delay_seconds())
+                state.required_groups_complete.wait(self._batch_delay_seconds())
             self._write_segment(_limit_size(state.unlisted))
             self._on_listed(state)
 
     def _batch_delay_seconds(self) -> float:
         state = self._state
         old = time.time() - state.job.submitted_at > EARLY_AGE_SECONDS
-        early = state.wanted_groups_share < EARLY_PROGRESS_SHARE and not old
+        early = state.required_groups_share < EARLY_PROGRESS_SHARE and not old
         return EARLY_BATCH_DELAY_SECONDS if early else BATCH_DELAY_SECONDS
 
     def _write_segment(self, batch: list[ItemResult], allow_empty: bool = False) -> None:
--- a/tests/jobs/test_coordinator.py
+++ b/tests/jobs/test_coordinator.py
@@ -200,16 +200,16 @@
     def test_awaited_is_set_once_enough_groups_are_complete(self):
         job = make_job()
         half = len({item.group for item in job.items}) // 2
-        state = JobState(replace(job, wanted_groups=half))
+        state = JobState(replace(job, required_groups=half))
         groups = [item.group for item in job.items]
         for item, group in zip(job.items, groups, strict=True):
-            if state.wanted_groups_complete.is_set():
+            if state.required_groups_complete.is_set():
                 break
             state.add_unlisted(ItemResult(item.item_id, ResultState.COMPLETED, "x"))
             state.add_unlisted(ItemResult(item.item_id, ResultState.COMPLETED, "again"))
             whole = {one for one in groups if groups.count(one) <= _ready(state, one)}
-            self.assertEqual(state.wanted_groups_complete.is_set(), len(whole) >= half, group)
-        self.assertTrue(state.wanted_groups_complete.is_set())
+            self.assertEqual(state.required_groups_complete.is_set(), len(whole) >= half, group)
+        self.assertTrue(state.required_groups_complete.is_set())
 
 
 def _ready(state, group):
--- a/tests/jobs/test_result_writer.py
+++ b/tests/jobs/test_result_writer.py
@@ -9,10 +9,10 @@
 from runkeel_lab.standins.document_store import MemoryDocumentStore
 
 
-def make_state(age_seconds=0.0, wanted_groups=4):
+def make_state(age_seconds=0.0, required_groups=4):
     items = tuple(JobItem(f"i{n}", "/p", (), "", group=f"g{n // 2}") for n in range(8))
     submitted_at = time.time() - age_seconds
-    return JobState(BatchJob("j", "h", "/p", submitted_at, items, wanted_groups=wanted_groups))
+    return JobState(BatchJob("j", "h", "/p", submitted_at, items, required_groups=required_groups))
 
 
 class BatchDelayTest(unittest.TestCase):
@@ -37,7 +37,9 @@
         self.assertEqual(self.batch_delay_seconds(make_state(age_seconds=5.0)), BATCH_DELAY_SECONDS)
 
     def test_delay_without_awaited_groups(self):
-        self.assertEqual(self.batch_delay_seconds(make_state(wanted_groups=0)), BATCH_DELAY_SECONDS)
+        self.assertEqual(
+            self.batch_delay_seconds(make_state(required_groups=0)), BATCH_DELAY_SECONDS
+        )
 
 
 if __name__ == "__main__":
