--- a/src/runkeel/api/fleet.py
+++ b/src/runkeel/api/fleet.py
@@ -35,13 +35,13 @@
     """Requests to one host under one path prefix.
 
     Attributes:
-        maximum_attempts: most servers to which one client attempt may be sent.
+        max_attempts: most servers to which one client attempt may be sent.
         timeout_seconds: longest time for which a request is kept open.
         target_latency_seconds: latency up to which a response has its full value.
         rank: priority, 0 is the most urgent.
         resumable: another server may continue a stream.
         result_deadline_seconds: batch routes: time from submission until all results are due.
-        maximum_queue_seconds: batch routes: time from submission until an item may be abandoned.
+        max_queue_seconds: batch routes: time from submission until an item may be abandoned.
         single_version: batch routes: one weight version must generate the whole result.
         public: requests need no API key.
     """
@@ -51,13 +51,13 @@
     path_prefix: str
     kind: RouteKind
     shares: tuple[ServiceShare, ...]
-    maximum_attempts: int = 1
+    max_attempts: int = 1
     timeout_seconds: float = 30.0
     target_latency_seconds: float = 1.0
     rank: int = 5
     resumable: bool = False
     result_deadline_seconds: float = 0.0
-    maximum_queue_seconds: float = 0.0
+    max_queue_seconds: float = 0.0
     single_version: bool = False
     public: bool = False
 
@@ -78,7 +78,7 @@
     """A service; ``models`` is empty for application services."""
 
     name: str
-    maximum_connections: int = 0
+    max_connections: int = 0
     models: tuple[str, ...] = ()
     slots: int = 0
 
@@ -87,8 +87,8 @@
 class ClientLimits:
     """Limits on the requests of clients."""
 
-    maximum_header_bytes: int = 16_384
-    maximum_body_bytes: int = 32 * 1024 * 1024
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 32 * 1024 * 1024
     header_timeout_seconds: float = 3.0
     idle_timeout_seconds: float = 15.0
 
--- a/src/runkeel/api/machines.py
+++ b/src/runkeel/api/machines.py
@@ -103,7 +103,7 @@
         queued: number of requests queued at the node.
         projected_wait_ms: expected wait of a new request of the lowest caller class.
         minimum_version: lowest weight version among its back ends; 0 for applications.
-        maximum_version: highest weight version among its back ends; 0 for applications.
+        max_version: highest weight version among its back ends; 0 for applications.
     """
 
     node_id: str
@@ -115,7 +115,7 @@
     queued: int
     projected_wait_ms: int
     minimum_version: int = 0
-    maximum_version: int = 0
+    max_version: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -203,7 +203,7 @@
     def _may_hedge(self, forwarded: _ForwardedRequest) -> bool:
         if (
             not forwarded.route.repeatable
-            or forwarded.possibly_run_attempts >= forwarded.route.maximum_attempts
+            or forwarded.possibly_run_attempts >= forwarded.route.max_attempts
         ):
             return False
         if forwarded.watched.suspected:
@@ -215,7 +215,7 @@
         return any(state.incarnation not in forwarded.tried for state in candidates)
 
     def _start_attempt(self, forwarded: _ForwardedRequest, reason: str = "first") -> None:
-        if forwarded.possibly_run_attempts >= forwarded.route.maximum_attempts:
+        if forwarded.possibly_run_attempts >= forwarded.route.max_attempts:
             return
         if forwarded.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
             return
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -133,7 +133,7 @@
         failure: OpenedStream | None = None
         error = not_run(ErrorCode.QUEUE_FULL, relay.service)
         while steady_seconds() < relay.deadline and not relay.disconnected.is_set():
-            if relay.attempts_run >= relay.route.maximum_attempts:
+            if relay.attempts_run >= relay.route.max_attempts:
                 break
             candidates = self._directory.candidates(relay.service, relay.tried)
             if relay.watched.quarantined:
--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -243,7 +243,7 @@
         self, environment: dict[str, Any], connection: _Handler
     ) -> ClientRequest | None:
         received_at = steady_seconds()
-        limit = self._limits().maximum_body_bytes
+        limit = self._limits().max_body_bytes
         body = _read_body(environment, limit)
         if body is None:
             connection.close_connection = True
--- a/src/runkeel/jobs/expiry.py
+++ b/src/runkeel/jobs/expiry.py
@@ -17,6 +17,6 @@
 
 def expires_at(job: BatchJob, route: Route) -> float:
     """Return the Unix time in seconds when an item expires; infinity if it never does."""
-    if route.maximum_queue_seconds <= 0:
+    if route.max_queue_seconds <= 0:
         return math.inf
-    return job.submitted_at + route.maximum_queue_seconds + MAX_CLOCK_SKEW_SECONDS
+    return job.submitted_at + route.max_queue_seconds + MAX_CLOCK_SKEW_SECONDS
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -260,7 +260,7 @@
 
 
 def _remaining_seconds(task: ItemTask, route: Route) -> float:
-    if route.maximum_queue_seconds <= 0:
+    if route.max_queue_seconds <= 0:
         return route.timeout_seconds
-    end = task.state.job.submitted_at + route.maximum_queue_seconds
+    end = task.state.job.submitted_at + route.max_queue_seconds
     return max(MIN_RUN_SECONDS, end - time.time())
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -444,7 +444,7 @@
             task.partial = better_output
         if outcome is RunOutcome.FAILED:
             task.failures += 1
-        if outcome is RunOutcome.IMPOSSIBLE or task.failures >= route.maximum_attempts:
+        if outcome is RunOutcome.IMPOSSIBLE or task.failures >= route.max_attempts:
             self._finish(task, failed_result(task, outcome.value))
             return
         if outcome is RunOutcome.OLD_VERSION:
--- a/src/runkeel/jobs/scorer.py
+++ b/src/runkeel/jobs/scorer.py
@@ -82,7 +82,7 @@
                 if stamp:
                     return stamp
                 failures += failed
-                if failures >= route.maximum_attempts:
+                if failures >= route.max_attempts:
                     raise ScoringFailedError(f"{failures} failed attempts")
             gevent.sleep(max(0.0, min(pause, deadline - steady_seconds())))
         raise ScoringUnfinishedError(f"deadline exceeded after {failures} failed attempts")
@@ -117,7 +117,7 @@
         request = self._protocol.encode_score_request(
             call.request_id, call.host, call.path, base64.b64decode(call.body)
         )
-        single = replace(route, maximum_attempts=1)
+        single = replace(route, max_attempts=1)
         limit = max(MIN_CALL_SECONDS, CALL_TARGET_MULTIPLE * route.target_latency_seconds)
         call_deadline = min(deadline, steady_seconds() + limit)
         try:
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -141,7 +141,7 @@
                 str(route.kind),
                 ", ".join(f"{share.service}={share.weight:g}" for share in route.shares),
                 route.rank,
-                route.maximum_attempts,
+                route.max_attempts,
                 int(route.timeout_seconds * 1000),
             )
             for route in (configuration.routes if configuration else ())
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -113,7 +113,7 @@
             placement.acquire_slot(state)
     routing = RoutingTable()
     share = ServiceShare(_SERVICE, 1.0)
-    route = Route("r", "host", "/", RouteKind.BATCH, (share,), maximum_queue_seconds=3600.0, rank=1)
+    route = Route("r", "host", "/", RouteKind.BATCH, (share,), max_queue_seconds=3600.0, rank=1)
     description = ServiceDescription(_SERVICE, models=(_MODEL,))
     routing.apply(RoutingConfiguration(1, (route,), {_SERVICE: description}))
     scheduler = Scheduler(
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -28,9 +28,7 @@
 
 def make_route(kind=RouteKind.REPEATABLE, attempts=3, target=10.0):
     shares = (ServiceShare(SERVICE, 1.0),)
-    return Route(
-        "r", "h", "/", kind, shares, maximum_attempts=attempts, target_latency_seconds=target
-    )
+    return Route("r", "h", "/", kind, shares, max_attempts=attempts, target_latency_seconds=target)
 
 
 class ForwarderTest(unittest.TestCase):
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -27,7 +27,7 @@
 def make_route(resumable=True, attempts=3):
     shares = (ServiceShare(SERVICE, 1.0),)
     return Route(
-        "r", "h", "/", RouteKind.STREAM, shares, maximum_attempts=attempts, resumable=resumable
+        "r", "h", "/", RouteKind.STREAM, shares, max_attempts=attempts, resumable=resumable
     )
 
 
--- a/tests/jobs/test_expiry.py
+++ b/tests/jobs/test_expiry.py
@@ -60,7 +60,7 @@
 
     def test_route_without_queue_limit_expires_nothing(self):
         """Guards against treating an unlimited queue time as already expired."""
-        route = replace(self.route, maximum_queue_seconds=0.0)
+        route = replace(self.route, max_queue_seconds=0.0)
         self.assertGreater(expires_at(self.job(10_000.0), route), time.time())
 
     def start(self, seconds_ago, unfinished):
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -46,7 +46,7 @@
         prefix,
         kind,
         (ServiceShare(SERVICE, 1.0),),
-        maximum_queue_seconds=60.0,
+        max_queue_seconds=60.0,
     )
     return RoutingConfiguration(1, (route,), {SERVICE: ServiceDescription(SERVICE)})
 
--- a/tests/jobs/test_scorer.py
+++ b/tests/jobs/test_scorer.py
@@ -58,7 +58,7 @@
             "/score/",
             RouteKind.REPEATABLE,
             (ServiceShare("scorers", 1.0),),
-            maximum_attempts=attempts,
+            max_attempts=attempts,
             target_latency_seconds=target,
         )
         routing = RoutingTable()
