--- a/src/runkeel/handoff/storage_quorum.py
+++ b/src/runkeel/handoff/storage_quorum.py
@@ -56,9 +56,9 @@
     tolerance: LossTolerance
     regions: Mapping[str, str] = field(default_factory=dict)
 
-    def is_durable(self, keepers: Iterable[StorageNode]) -> bool:
+    def is_durable(self, storage_nodes: Iterable[StorageNode]) -> bool:
         """Return whether a job that these nodes keep survives any loss within the tolerance."""
-        nodes = set(keepers)
+        nodes = set(storage_nodes)
         zones = {node.zone for node in nodes}
         regions = {self.regions.get(zone, zone) for zone in zones}
         return (
--- a/tests/handoff/test_storage_quorum.py
+++ b/tests/handoff/test_storage_quorum.py
@@ -14,7 +14,7 @@
 OPTIONS = settings(max_examples=500, deadline=None, derandomize=True)
 
 
-def keepers(*names):
+def storage_nodes(*names):
     return [StorageNode(name, name[0]) for name in names]
 
 
@@ -22,24 +22,24 @@
     def test_nodes_of_one_zone_are_not_enough_when_a_zone_may_be_lost(self):
         """A partitioned zone must not accept a job on its own that others then deny."""
         quorum = StorageQuorum(LossTolerance(2, 1))
-        self.assertFalse(quorum.is_durable(keepers("a1", "a2", "a3")))
-        self.assertTrue(quorum.is_durable(keepers("a1", "a2", "b1")))
+        self.assertFalse(quorum.is_durable(storage_nodes("a1", "a2", "a3")))
+        self.assertTrue(quorum.is_durable(storage_nodes("a1", "a2", "b1")))
 
     def test_job_can_be_ruled_out_without_one_zone(self):
         quorum = StorageQuorum(LossTolerance(2, 1))
-        self.assertTrue(quorum.rules_out(keepers("a1", "a2", "a3")))
-        self.assertFalse(quorum.rules_out(keepers("a1", "a2", "b1")))
+        self.assertTrue(quorum.rules_out(storage_nodes("a1", "a2", "a3")))
+        self.assertFalse(quorum.rules_out(storage_nodes("a1", "a2", "b1")))
 
     def test_only_nodes_count_when_no_zone_loss_is_tolerated(self):
         quorum = StorageQuorum(LossTolerance(1))
-        self.assertTrue(quorum.is_durable(keepers("a1", "a2")))
-        self.assertFalse(quorum.is_durable(keepers("a1")))
-        self.assertFalse(quorum.is_durable(keepers("a1", "a1")))
+        self.assertTrue(quorum.is_durable(storage_nodes("a1", "a2")))
+        self.assertFalse(quorum.is_durable(storage_nodes("a1")))
+        self.assertFalse(quorum.is_durable(storage_nodes("a1", "a1")))
 
     def test_nodes_of_one_region_are_not_enough_when_a_region_may_be_lost(self):
         quorum = StorageQuorum(LossTolerance(1, 1, 1), REGIONS)
-        self.assertFalse(quorum.is_durable(keepers("a1", "b1")))
-        self.assertTrue(quorum.is_durable(keepers("a1", "c1")))
+        self.assertFalse(quorum.is_durable(storage_nodes("a1", "b1")))
+        self.assertTrue(quorum.is_durable(storage_nodes("a1", "c1")))
 
 
 @st.composite
