--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -1,4 +1,4 @@
-"""Interface to the protocol of back ends: encoding of requests and parsing of responses."""
+"""Interface to the protocol of backends: encoding of requests and parsing of responses."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
 
 
 class BackendProtocol(Protocol):
-    """Encodes requests to back ends and parses their responses; does no I/O."""
+    """Encodes requests to backends and parses their responses; does no I/O."""
 
     def encode_plain(
         self, request: ForwardedRequest, backend: Backend, remaining_seconds: float
--- a/src/runkeel/api/configuration.py
+++ b/src/runkeel/api/configuration.py
@@ -93,7 +93,7 @@
 
 
 class DrainSpec(Spec):
-    """Drains a back end or node, given by the object's name: it gets no new work."""
+    """Drains a backend or node, given by the object's name: it gets no new work."""
 
     reason: str = ""
     stop: bool = False
--- a/src/runkeel/api/documents.py
+++ b/src/runkeel/api/documents.py
@@ -205,7 +205,7 @@
         """Parse the routing document."""
 
     def backend(self, document: Document) -> Backend:
-        """Parse a back end's document."""
+        """Parse a backend's document."""
 
     def model_version(self, document: Document) -> tuple[str, int]:
         """Parse a version document into the model's name and weight version."""
--- a/src/runkeel/api/fleet.py
+++ b/src/runkeel/api/fleet.py
@@ -1,4 +1,4 @@
-"""Routing configuration and back ends, as used by the gateway and the job coordinator."""
+"""Routing configuration and backends, as used by the gateway and the job coordinator."""
 
 from __future__ import annotations
 
--- a/src/runkeel/api/machines.py
+++ b/src/runkeel/api/machines.py
@@ -53,7 +53,7 @@
     """An entry of the machine list.
 
     Attributes:
-        pool: the service or model that a back end serves; empty for nodes and scorers.
+        pool: the service or model that a backend serves; empty for nodes and scorers.
         version: version of the list at which this entry last changed.
     """
 
@@ -94,16 +94,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSummary:
-    """Load of the back ends of one pool that one node owns.
+    """Load of the backends of one pool that one node owns.
 
     Attributes:
         sequence: increases with each summary of the node.
-        slots: number of requests that its back ends can run concurrently.
-        in_flight: number of requests in flight at its back ends.
+        slots: number of requests that its backends can run concurrently.
+        in_flight: number of requests in flight at its backends.
         queued: number of requests queued at the node.
         projected_wait_ms: expected wait of a new request of the lowest caller class.
-        minimum_version: lowest weight version among its back ends; 0 for applications.
-        max_version: highest weight version among its back ends; 0 for applications.
+        minimum_version: lowest weight version among its backends; 0 for applications.
+        max_version: highest weight version among its backends; 0 for applications.
     """
 
     node_id: str
--- a/src/runkeel/errors.py
+++ b/src/runkeel/errors.py
@@ -12,14 +12,14 @@
 
 
 class Verdict(enum.IntEnum):
-    """Whether the request may have been executed by a back end."""
+    """Whether the request may have been executed by a backend."""
 
     NOT_RUN = 1
-    """It is proven that no back end executed the request or will execute it."""
+    """It is proven that no backend executed the request or will execute it."""
     MAY_HAVE_RUN = 2
     """The request may have been executed; its outcome is unknown."""
     RAN = 3
-    """A back end executed the request."""
+    """A backend executed the request."""
 
 
 class ErrorCode(enum.StrEnum):
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -80,7 +80,7 @@
 """Subfolder of the data folder for the journal of partial outputs."""
 
 COORDINATOR_BATCHING_SECONDS = 0.3
-"""How long the coordinator batches changes of back ends before it asks the store for more."""
+"""How long the coordinator batches changes of backends before it asks the store for more."""
 
 FIRST_ELECTION_DELAY_SECONDS = 1.0
 """Delay of the first election on nodes that are not preferred, when a system first starts.
@@ -90,7 +90,7 @@
 """
 
 EXPIRED_BACKEND_GRACE_SECONDS = 2.0
-"""How long back ends whose entries expired during a store outage are kept after its end.
+"""How long backends whose entries expired during a store outage are kept after its end.
 
 Servers that are still alive write their entries again within this time.
 """
@@ -99,7 +99,7 @@
 """Maximum duration of a store watch on a node that does not coordinate."""
 
 NODE_BATCHING_FRACTION = 0.65
-"""Batching interval for changes of back ends on a node that does not coordinate.
+"""Batching interval for changes of backends on a node that does not coordinate.
 
 A fraction of ``FleetSettings.max_propagation_seconds``.
 """
@@ -117,7 +117,7 @@
         preferred_coordinator: whether this node is preferred over nodes that serve clients when a
             coordinator is elected.
         max_propagation_seconds: maximum time until all nodes know a change of configuration or
-            back ends.
+            backends.
         data_folder: folder on the local disk; None if this machine is not a storage node.
         first_start: whether the whole system starts for the first time, without a coordinator.
         usage: settings of the usage reports; None if the platform wants none.
