--- a/src/runkeel/coordination/peers.py
+++ b/src/runkeel/coordination/peers.py
@@ -112,27 +112,27 @@
         and a whole zone may be lost.
         """
         order = [self._peers[name].address for name in self._succession()]
-        chosen, others = order[:FIRST_SUCCESSORS], order[FIRST_SUCCESSORS:]
-        zones = [self._zone, *(one.zone for one in chosen)]
-        while others and len(chosen) < MAX_ADVERTISED_SUCCESSORS:
+        selected, others = order[:FIRST_SUCCESSORS], order[FIRST_SUCCESSORS:]
+        zones = [self._zone, *(one.zone for one in selected)]
+        while others and len(selected) < MAX_ADVERTISED_SUCCESSORS:
             following = min(others, key=lambda one: zones.count(one.zone))
             others.remove(following)
-            chosen.append(following)
+            selected.append(following)
             zones.append(following.zone)
-        return chosen
+        return selected
 
     def witnesses_for(self, node_id: str) -> list[NodeAddress]:
         """Return other nodes of each zone, those that are not preferred first."""
         others = [known for name, known in self._live() if name != node_id]
         others.sort(key=lambda known: known.preferred)
         count_by_zone: dict[str, int] = {}
-        chosen = []
+        selected = []
         for known in others:
             zone = known.address.zone
             count_by_zone[zone] = count_by_zone.get(zone, 0) + 1
             if count_by_zone[zone] <= MAX_WITNESSES_PER_ZONE:
-                chosen.append(known.address)
-        return chosen[:MAX_WITNESSES]
+                selected.append(known.address)
+        return selected[:MAX_WITNESSES]
 
     def _succession(self) -> list[str]:
         """Return the preferred nodes in the order in which they would take over."""
--- a/src/runkeel/jobs/engine_placement.py
+++ b/src/runkeel/jobs/engine_placement.py
@@ -36,7 +36,7 @@
 """Upper bound of groups whose engine is recorded; the oldest are evicted first."""
 
 MAX_CANDIDATES = 32
-"""Size of the random sample of engines with a free slot from which one is chosen.
+"""Size of the random sample of engines with a free slot from which one is selected.
 
 All are considered if there are no more. The sample bounds the time of a choice, at 1 to 2 us per
 engine, whatever the size of the fleet.
@@ -107,7 +107,7 @@
 
         Args:
             relative_length: expected remaining length as a multiple of a typical generation.
-            exclude: an engine that must not be chosen.
+            exclude: an engine that must not be selected.
         """
         length = min(MAX_RELATIVE_LENGTH, relative_length)
         free = self._engines_with_free_slot(service)
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -53,7 +53,7 @@
 
 
 class _NullProtocol:
-    """Protocol that never sends, so that only the decision is measured."""
+    """Protocol that never sends, so that only the decision is timed."""
 
     def encode_generation(self, request: object, backend: Backend, remaining: float) -> None:
         gevent.sleep(3600.0)
