--- a/src/runkeel/api/usage.py
+++ b/src/runkeel/api/usage.py
@@ -1,4 +1,4 @@
-"""Interface to the platform's singleton duties: calls that one node makes for the cluster."""
+"""Interface for reporting usage to the platform: calls that one node makes for the cluster."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseHolder:
-    """Node that makes a duty's calls; the fencing token increases with each change of holder."""
+    """Node that makes the calls; the fencing token increases with each change of holder."""
 
     name: str
     fencing_token: int
