--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -26,14 +26,20 @@
 
 
 class EngineOrderOutcome(enum.Enum):
-    """Response of an engine to an order."""
+    """Outcome of an order to an engine."""
 
     ACCEPTED = "accepted"
+    """The engine starts to load the version."""
     ALREADY_APPLIED = "in_force"
+    """The engine already has the version."""
     CONFLICT = "conflict"
+    """The engine is busy, or has accepted a different number of orders than expected."""
     STALE_FENCE = "stale_fence"
+    """The engine has accepted an order with a higher fencing token."""
     WRONG_SERVER = "wrong_server"
+    """The address now belongs to another server."""
     REFUSED = "refused"
+    """The order was rejected for another reason, or was not sent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +48,8 @@
 
     Attributes:
         resume_after: id of the last event of the stream that the client has received.
-        urgency: rank at an engine, 0 first; None: keep the client's header.
+        urgency: priority to send if the client's headers contain none, 0 is the most urgent;
+            None: send none.
         tenant: tenant that the request belongs to; empty: none.
     """
 
@@ -77,7 +84,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationEvent:
-    """One event of a generation; ``version`` is 0 unless the weight version changed there."""
+    """One event of a generation.
+
+    Attributes:
+        version: weight version that generates from this event on; 0: the event names none.
+        has_data: False for comments and other events without output.
+    """
 
     event_id: str
     data: str
@@ -90,8 +102,10 @@
     """An order to an engine to load a weight version of a model.
 
     Attributes:
+        holder: the node that sends the order, and holds the fencing token.
         keep_running: generations continue on the new version instead of finishing first.
-        expected_sequence: number of orders that the engine must have accepted before this one.
+        expected_sequence: number of orders that the engine must have accepted before this one;
+            None: any number.
     """
 
     model: str
@@ -104,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """State of an engine, up to some hundred milliseconds old.
+    """State of an engine, up to a few hundred milliseconds old.
 
     Attributes:
         sequence: number of orders accepted since it started.
@@ -143,9 +157,10 @@
         """Classify a response by its status and headers."""
 
     def is_failed_attempt(self, status: int) -> bool:
-        """Return whether a FAILURE counts as a failed attempt, after which work may be abandoned.
+        """Return whether a FAILURE with this status counts towards the limit on failed attempts.
 
-        Other failures, such as a server's timeout, do not count.
+        Work is abandoned at that limit. Other failures, such as a timeout at the server, do not
+        count.
         """
 
     def stamp(self, headers: Iterable[tuple[str, str]]) -> str:
--- a/src/runkeel/api/configuration.py
+++ b/src/runkeel/api/configuration.py
@@ -8,7 +8,7 @@
 
 
 class ObjectKind(enum.StrEnum):
-    """Kinds of objects kept in the object API."""
+    """Kinds of configuration objects."""
 
     SERVICE = "service"
     MODEL = "model"
--- a/src/runkeel/api/documents.py
+++ b/src/runkeel/api/documents.py
@@ -111,7 +111,9 @@
     """A conditional write failed; ``current`` is the stored document, if known."""
 
     def __init__(self, kind: DocumentKind, name: str, current: Document | None) -> None:
-        super().__init__(ErrorCode.CONFLICT, f"{kind}/{name}", Verdict.NOT_RUN)
+        super().__init__(
+            ErrorCode.CONFLICT, f"{kind}/{name} already exists or has changed", Verdict.NOT_RUN
+        )
         self.current = current
 
 
@@ -119,7 +121,11 @@
     """The store has discarded changes after the requested revision; list again."""
 
     def __init__(self, kind: DocumentKind, revision: int) -> None:
-        super().__init__(ErrorCode.CONFLICT, f"{kind} since {revision}", Verdict.NOT_RUN)
+        super().__init__(
+            ErrorCode.CONFLICT,
+            f"the store no longer has the {kind} changes after revision {revision}",
+            Verdict.NOT_RUN,
+        )
 
 
 class UnreadableDocumentError(ValueError):
--- a/src/runkeel/api/fleet.py
+++ b/src/runkeel/api/fleet.py
@@ -37,7 +37,7 @@
     Attributes:
         maximum_attempts: most servers to which one client attempt may be sent.
         timeout_seconds: longest time for which a request is kept open.
-        target_latency_seconds: latency up to which a response has its full value.
+        target_latency_seconds: latency that a response should not exceed.
         rank: priority, 0 is the most urgent.
         resumable: another server may continue a stream.
         result_deadline_seconds: batch routes: time from submission until all results are due.
@@ -116,7 +116,8 @@
         backend_id: the server's id on the platform; a restarted server keeps the id but no state.
         draining: it gets no new work.
         model_versions: weight version of each model that it serves, as last reported.
-        start: distinguishes incarnations with the same id; empty: no other one is known.
+        start: identifies the incarnation among those with the same id; empty: the server does not
+            report it and no restart has been observed.
         orders_accepted: number of orders accepted since it started; None: not reported.
         unreadable: why its entry can no longer be parsed, in which case it gets no new work;
             empty: the entry is valid.
@@ -135,7 +136,10 @@
 
     @property
     def incarnation(self) -> str:
-        """Id of this incarnation, the same on all nodes and never reused."""
+        """Id of this incarnation.
+
+        The same on all nodes and never reused if the server reports its start.
+        """
         return f"{self.backend_id}@{self.start}" if self.start else self.backend_id
 
     @property
