--- a/src/runkeel/backends/http_connection.py
+++ b/src/runkeel/backends/http_connection.py
@@ -37,13 +37,18 @@
 
 KEEP_ALIVE_MARGIN_SECONDS = 0.7
 """An idle connection is discarded this long before the server would close it."""
-KEEP_ALIVE_PROBE_SECONDS = 1
-KEEP_ALIVE_PROBES = 2
+
+TCP_KEEPALIVE_INTERVAL_SECONDS = 1
+"""Time without traffic before the first TCP keep-alive probe, and between two probes."""
+
+TCP_KEEPALIVE_PROBES = 2
+"""Number of unanswered TCP keep-alive probes after which the connection is considered lost."""
+
 TCP_USER_TIMEOUT_MILLISECONDS = 3_000
 """Time without acknowledgement of sent data after which the connection is considered lost."""
 
-PROBE_IDLE_SECONDS = 2.0
-"""Time for which a connection opened by a probe is kept for reuse."""
+MAX_PROBED_IDLE_SECONDS = 2.0
+"""Maximum time that a connection opened by :meth:`HttpConnectionPool.probe` is kept for reuse."""
 
 _FIRST_FINAL_STATUS = 200
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -157,7 +162,8 @@
             deadline: steady clock time, in seconds.
 
         Raises:
-            RunkeelError: TRUNCATED_ANSWER, BACKEND_LOST or DEADLINE_EXCEEDED (MAY_HAVE_RUN).
+            RunkeelError: TRUNCATED_ANSWER, BACKEND_LOST, DEADLINE_EXCEEDED or, once the stream is
+                closed, CANCELLED (all MAY_HAVE_RUN).
         """
         while (body := self.read_chunk(deadline)) is not None:
             yield body
@@ -184,7 +190,7 @@
             self._pool.release(sock, self._parser)
 
     def abort(self) -> None:
-        """Reset the connection; a task that reads the response gets BACKEND_LOST."""
+        """Reset the connection; a task that is waiting for data gets TRUNCATED_ANSWER."""
         sock, self._sock = self._sock, None
         if sock is not None:
             self._pool.reset(sock)
@@ -230,8 +236,9 @@
             accept: checks the response; if it returns False, the connection is reset.
 
         Raises:
-            RunkeelError: BACKEND_UNREACHABLE (NOT_RUN: no byte was sent); BACKEND_LOST,
-                TRUNCATED_ANSWER or DEADLINE_EXCEEDED (MAY_HAVE_RUN).
+            RunkeelError: with verdict NOT_RUN if no byte was sent: BACKEND_UNREACHABLE,
+                DEADLINE_EXCEEDED or BAD_REQUEST; otherwise with MAY_HAVE_RUN: BACKEND_LOST,
+                TRUNCATED_ANSWER or DEADLINE_EXCEEDED.
         """
         sock, parser = self._exchange_headers(request, deadline, before_send)
         try:
@@ -240,7 +247,9 @@
                 raise may_have_run(ErrorCode.BACKEND_LOST, "response to a different request")
             while not parser.finished:
                 if parser.buffered_bytes > self._max_response_bytes:
-                    raise may_have_run(ErrorCode.BACKEND_LOST, "response body too large")
+                    raise may_have_run(
+                        ErrorCode.BACKEND_LOST, "response body exceeds the maximum size"
+                    )
                 _receive_into(sock, parser, deadline)
         finally:
             self.release(sock, parser)
@@ -299,7 +308,7 @@
         if self._closed or len(self._idle) >= MAX_IDLE_CONNECTIONS:
             sock.close()
         else:
-            self._idle.append((sock, steady_seconds() + PROBE_IDLE_SECONDS))
+            self._idle.append((sock, steady_seconds() + MAX_PROBED_IDLE_SECONDS))
         return Reachability.OPEN
 
     @property
@@ -358,7 +367,9 @@
 
     def _connect(self, remaining_seconds: float) -> gevent.socket.socket:
         if remaining_seconds <= 0:
-            raise not_run(ErrorCode.DEADLINE_EXCEEDED, "no time left to connect")
+            raise not_run(
+                ErrorCode.DEADLINE_EXCEEDED, "deadline reached before connecting to the backend"
+            )
         self._check_not_aborted()
         sock = gevent.socket.socket()
         try:
@@ -386,9 +397,9 @@
     tcp = gevent.socket.IPPROTO_TCP
     sock.setsockopt(tcp, gevent.socket.TCP_NODELAY, 1)
     sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(tcp, gevent.socket.TCP_KEEPIDLE, KEEP_ALIVE_PROBE_SECONDS)
-    sock.setsockopt(tcp, gevent.socket.TCP_KEEPINTVL, KEEP_ALIVE_PROBE_SECONDS)
-    sock.setsockopt(tcp, gevent.socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+    sock.setsockopt(tcp, gevent.socket.TCP_KEEPIDLE, TCP_KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(tcp, gevent.socket.TCP_KEEPINTVL, TCP_KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(tcp, gevent.socket.TCP_KEEPCNT, TCP_KEEPALIVE_PROBES)
     sock.setsockopt(tcp, gevent.socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLISECONDS)
 
 
@@ -458,7 +469,7 @@
     if not data:
         if parser.handle_eof():
             return
-        raise _incomplete_error(parser, "connection closed")
+        raise _incomplete_error(parser, "connection closed by the backend")
     try:
         parser.feed(data)
     except HTTPParseError as error:
--- a/tests/backends/test_http_connection.py
+++ b/tests/backends/test_http_connection.py
@@ -20,11 +20,11 @@
 from runkeel.errors import ErrorCode, RunkeelError, Verdict, not_run
 
 COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
-RESET = b""
+NO_RESPONSE = b""
 
 
 class ScriptedServer:
-    """Responds to the n-th request of a connection with the n-th item, then closes it."""
+    """Responds to the n-th request of each connection with the n-th item, then closes it."""
 
     def __init__(self, *responses: bytes) -> None:
         self.responses = responses
@@ -110,11 +110,11 @@
         self.assertEqual(server.requests, [])
 
     def test_connection_lost_before_the_response(self) -> None:
-        self.serve(RESET)
+        self.serve(NO_RESPONSE)
         self.assert_fails(ErrorCode.BACKEND_LOST)
 
     def test_reused_connection_lost_after_the_send_may_have_run(self) -> None:
-        self.serve(COMPLETE_RESPONSE, RESET)
+        self.serve(COMPLETE_RESPONSE, NO_RESPONSE)
         self.get()
         self.assert_fails(ErrorCode.BACKEND_LOST)
 
@@ -160,12 +160,12 @@
         self.assertEqual(server.connections, 2)
 
     def test_bytes_after_a_response_never_become_the_next_response(self) -> None:
-        crossed = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nWRONG"
-        self.serve(COMPLETE_RESPONSE + crossed, COMPLETE_RESPONSE)
+        next_response = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nWRONG"
+        self.serve(COMPLETE_RESPONSE + next_response, COMPLETE_RESPONSE)
         self.assert_fails(ErrorCode.BACKEND_LOST)
         server = self.serve(COMPLETE_RESPONSE, COMPLETE_RESPONSE)
         self.get()
-        # Unsolicited bytes on an idle connection make it unusable.
+        # An idle connection without unread bytes is reused.
         self.pool._idle[0][0].settimeout(1)
         self.assertEqual(self.get().body, b"hello")
         self.assertEqual(server.connections, 1)
