--- a/src/runkeel/gateway/backends.py
+++ b/src/runkeel/gateway/backends.py
@@ -32,16 +32,17 @@
 """Upper bound of the ejection time, so that a recovered server is found again."""
 
 MAX_COUNTED_FAILURES = 100
-"""Consecutive failures are counted up to this number.
+"""Upper bound of the count of consecutive failures.
 
-Far fewer reach MAX_EJECTION_SECONDS, and the ejection time computed from many more would overflow.
+The ejection time doubles with each failure and would overflow a float from 1,025 failures on.
+MAX_EJECTION_SECONDS is reached after a few.
 """
 
 ENDED_RETRY_SECONDS = 10.0
 """An ended server whose entry still exists is tried again after this time.
 
-Exceeds the time after which an entry without heartbeats expires in the document store. An entry
-that remains belongs to a server that restarted without reporting it, or the store is unavailable.
+Exceeds the time after which an entry without heartbeats expires in the document store. If the entry
+still exists by then, the server has restarted without reporting it, or the store is unavailable.
 """
 
 REFUSAL_BACKOFF_SECONDS = 0.05
@@ -113,8 +114,7 @@
         self.avoid_until = max(self.avoid_until, steady_seconds() + REFUSAL_BACKOFF_SECONDS)
 
     def record_call_failure(self) -> None:
-        """Record a lost connection or response; ejects the server, longer each time in a row."""
-        # Bounded, as the power would overflow a float from 1,025 failures on.
+        """Record a lost connection or response; ejects the server, longer if failures repeat."""
         self.failures = min(MAX_COUNTED_FAILURES, self.failures + 1)
         pause = min(MAX_EJECTION_SECONDS, BASE_EJECTION_SECONDS * 2 ** (self.failures - 1))
         self.avoid_until = steady_seconds() + pause
--- a/src/runkeel/gateway/event_order.py
+++ b/src/runkeel/gateway/event_order.py
@@ -10,6 +10,8 @@
 def is_next_event(last_event_id: str | None, event_id: str) -> bool:
     """Return whether an event is the next one in sequence; True if the ids aren't numeric.
 
+    The first id is 0 or 1.
+
     Args:
         last_event_id: id of the previous event, None before the first one.
         event_id: id of the event to check.
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -54,8 +54,8 @@
 
 
 @dataclass(slots=True)
-class _ForwardedRequest:
-    """A request that is being forwarded, and the state of its attempts."""
+class _InFlightRequest:
+    """A request in flight and the state of its attempts."""
 
     request: ForwardedRequest
     watched: WatchedRequest
@@ -76,7 +76,7 @@
     failure: _Outcome | None = None
     """Failure to return if no attempt succeeds; a server's response is preferred to an error."""
     first_attempt_at: float = 0.0
-    """Start of the first of these attempts, in seconds since the Unix epoch."""
+    """Start of the first attempt that may have run, in seconds since the Unix epoch."""
 
 
 class Forwarder:
@@ -124,7 +124,7 @@
         watched = self._quarantine.watch(
             lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
         )
-        forwarded = _ForwardedRequest(request, watched, route, service, deadline, steady_seconds())
+        forwarded = _InFlightRequest(request, watched, route, service, deadline, steady_seconds())
         disconnect_watcher = (
             gevent.spawn(_report_disconnect, disconnected, forwarded.results)
             if disconnected is not None
@@ -144,7 +144,7 @@
                 disconnect_watcher.kill(block=False)
             gevent.killall(forwarded.tasks, block=False)
 
-    def _run_attempts(self, forwarded: _ForwardedRequest) -> HttpResponse:
+    def _run_attempts(self, forwarded: _InFlightRequest) -> HttpResponse:
         self._start_attempt(forwarded)
         while forwarded.running:
             try:
@@ -165,7 +165,7 @@
         return self._finish(forwarded)
 
     def _handle_outcome(
-        self, forwarded: _ForwardedRequest, outcome: _Outcome
+        self, forwarded: _InFlightRequest, outcome: _Outcome
     ) -> HttpResponse | None:
         forwarded.running -= 1
         ATTEMPTS.labels(forwarded.service, outcome.label).inc()
@@ -181,7 +181,7 @@
         self._log_attempt(forwarded, outcome)
         return None
 
-    def _finish(self, forwarded: _ForwardedRequest) -> HttpResponse:
+    def _finish(self, forwarded: _InFlightRequest) -> HttpResponse:
         failure = forwarded.failure
         if failure is None:
             code = ErrorCode.QUEUE_FULL if forwarded.tried else ErrorCode.NO_BACKEND
@@ -190,7 +190,7 @@
             return failure.response
         raise failure.error
 
-    def _wait_seconds(self, forwarded: _ForwardedRequest) -> float:
+    def _wait_seconds(self, forwarded: _InFlightRequest) -> float:
         now = steady_seconds()
         remaining = max(0.0, forwarded.deadline - now)
         if not self._may_hedge(forwarded):
@@ -200,7 +200,7 @@
         )
         return min(remaining, max(0.0, forwarded.started + hedge_after - now))
 
-    def _may_hedge(self, forwarded: _ForwardedRequest) -> bool:
+    def _may_hedge(self, forwarded: _InFlightRequest) -> bool:
         if (
             not forwarded.route.repeatable
             or forwarded.possibly_run_attempts >= forwarded.route.maximum_attempts
@@ -214,7 +214,7 @@
         candidates = self._directory.candidates(forwarded.service, forwarded.tried)
         return any(state.incarnation not in forwarded.tried for state in candidates)
 
-    def _start_attempt(self, forwarded: _ForwardedRequest, reason: str = "first") -> None:
+    def _start_attempt(self, forwarded: _InFlightRequest, reason: str = "first") -> None:
         if forwarded.possibly_run_attempts >= forwarded.route.maximum_attempts:
             return
         if forwarded.deadline - steady_seconds() < MIN_ATTEMPT_SECONDS:
@@ -248,7 +248,7 @@
                 age_ms=int((steady_seconds() - forwarded.started) * 1000),
             )
 
-    def _may_attempt(self, forwarded: _ForwardedRequest) -> bool:
+    def _may_attempt(self, forwarded: _InFlightRequest) -> bool:
         """Return whether the quarantine allows another attempt; may ask the coordinator.
 
         Raises:
@@ -262,7 +262,7 @@
         forwarded.watched.admit()
         return forwarded.deadline - steady_seconds() >= MIN_ATTEMPT_SECONDS
 
-    def _attempt(self, forwarded: _ForwardedRequest, state: BackendState) -> None:
+    def _attempt(self, forwarded: _InFlightRequest, state: BackendState) -> None:
         started = steady_seconds()
         try:
             outcome = self._exchange(forwarded, state)
@@ -276,7 +276,7 @@
             state.record_response_time(steady_seconds() - started)
         forwarded.results.put(outcome)
 
-    def _exchange(self, forwarded: _ForwardedRequest, state: BackendState) -> _Outcome:
+    def _exchange(self, forwarded: _InFlightRequest, state: BackendState) -> _Outcome:
         request = forwarded.request
         remaining = forwarded.deadline - steady_seconds()
         response_classes: list[ResponseClass] = []
@@ -298,7 +298,7 @@
             self._quarantine.crash_detector.address_taken(state)
         return _Outcome(state, response_class=response_classes[-1], response=response)
 
-    def _abandoned_error(self, forwarded: _ForwardedRequest, code: ErrorCode) -> RunkeelError:
+    def _abandoned_error(self, forwarded: _InFlightRequest, code: ErrorCode) -> RunkeelError:
         verdict = Verdict.MAY_HAVE_RUN if forwarded.possibly_run_attempts else Verdict.NOT_RUN
         if verdict is Verdict.NOT_RUN:
             # No server ran the request, so the client may send it again. The other codes would
@@ -306,11 +306,11 @@
             code = ErrorCode.QUEUE_FULL
         return RunkeelError(code, forwarded.service, verdict, self._retry_after_seconds(forwarded))
 
-    def _retry_after_seconds(self, forwarded: _ForwardedRequest) -> float:
+    def _retry_after_seconds(self, forwarded: _InFlightRequest) -> float:
         servers = self._directory.candidates(forwarded.service)
         return estimate_retry_after(servers, steady_seconds())
 
-    def _log_attempt(self, forwarded: _ForwardedRequest, outcome: _Outcome) -> None:
+    def _log_attempt(self, forwarded: _InFlightRequest, outcome: _Outcome) -> None:
         logger.info(
             "attempt failed",
             code="attempt",
--- a/src/runkeel/gateway/server_starts.py
+++ b/src/runkeel/gateway/server_starts.py
@@ -1,8 +1,9 @@
 """Determines whether an update of a server is of its current, a new or a previous incarnation.
 
 A server may restart under the same id, and then has lost all its state. Servers may report the time
-of their start. Start times are only compared for equality, as a machine's clock may jump back.
-Updates are ordered by the revision of the server's entry, which never decreases.
+of their start, which identifies the incarnation. It is only compared for equality, as a machine's
+clock may jump back. Updates are ordered by the revision of the server's entry, which never
+decreases.
 """
 
 from __future__ import annotations
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class OpenedStream:
-    """A response whose body is relayed as it arrives."""
+    """A response whose body is relayed as it arrives, or is complete if it is ``bytes``."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -68,7 +68,7 @@
     Args:
         zone: zone of this node; servers of the same zone are preferred.
         meter: counts the streams that servers started.
-        quarantine: holds back requests that crash servers.
+        quarantine: quarantines requests that crash servers.
     """
 
     def __init__(
@@ -298,7 +298,7 @@
         except RunkeelError as raised:
             raise ResponseAbortedError(raised.detail) from raised
         if failure is not None:
-            raise ResponseAbortedError(f"status {failure.status}")
+            raise ResponseAbortedError(f"the server to resume at returned status {failure.status}")
 
     def _close_stream(self, relay: _Relay) -> None:
         stream, relay.stream = relay.stream, None
