--- a/tests/gateway/test_deferrable_calls.py
+++ b/tests/gateway/test_deferrable_calls.py
@@ -74,18 +74,20 @@
     def setUp(self):
         self.directory = directory_of()
         self.calls = DeferrableCalls(self.directory)
-        self.begun = []
+        self.started = []
 
     def call(self, name, seconds=0.02):
         with self.calls.slot(SERVICE, steady_seconds() + FAR) as granted:
-            self.begun.append((name, granted))
-            self.most = max(getattr(self, "most", 0), self.calls.limit_of(SERVICE).calls_in_flight)
+            self.started.append((name, granted))
+            self.peak_in_flight = max(
+                getattr(self, "peak_in_flight", 0), self.calls.limit_of(SERVICE).calls_in_flight
+            )
             gevent.sleep(seconds)
 
     def test_calls_start_in_order_of_arrival(self):
         gevent.joinall([gevent.spawn(self.call, number) for number in range(60)])
-        self.assertEqual(self.begun, [(number, True) for number in range(60)])
-        self.assertEqual(self.most, SERVERS * SLOTS // 2)
+        self.assertEqual(self.started, [(number, True) for number in range(60)])
+        self.assertEqual(self.peak_in_flight, SERVERS * SLOTS // 2)
         self.assertEqual(self.calls.waiting(SERVICE), 0)
 
     def test_call_past_its_deadline_does_not_block_others(self):
@@ -95,7 +97,7 @@
             self.assertFalse(granted)
         after = gevent.spawn(self.call, "after")
         gevent.joinall([*blockers, after])
-        self.assertEqual(self.begun[-1], ("after", True))
+        self.assertEqual(self.started[-1], ("after", True))
 
     def test_call_killed_while_waiting_does_not_block_others(self):
         blockers = [gevent.spawn(self.call, n, 0.2) for n in range(SERVERS * SLOTS // 2)]
@@ -104,7 +106,7 @@
         gevent.sleep(0)
         ended.kill()
         gevent.joinall([*blockers, after])
-        self.assertEqual(self.begun[-1], ("after", True))
+        self.assertEqual(self.started[-1], ("after", True))
         self.assertEqual(self.calls.limit_of(SERVICE).calls_in_flight, 0)
 
     def test_services_have_independent_limits(self):
@@ -159,7 +161,7 @@
     def test_interactive_requests_find_slots_during_a_burst(self):
         self.assertEqual(self.run_burst(bounded=True), 0)
 
-    def test_without_the_limit_they_find_none(self):
+    def test_without_the_limit_most_requests_find_none(self):
         self.assertGreater(self.run_burst(bounded=False), self.CALLERS // 2)
 
 
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -37,15 +37,15 @@
     def setUp(self):
         self.meter = UsageMeter(5.0, lambda: 1_000.0)
 
-    def forward(self, route, seconds=2.0, gone=None, **pools):
+    def forward(self, route, seconds=2.0, disconnected=None, **pools):
         forwarder = Forwarder(
             directory_of(**pools), StatusProtocol(), "here", self.meter, open_quarantine()
         )
-        return forwarder.forward(REQUEST, route, SERVICE, steady_seconds() + seconds, gone)
+        return forwarder.forward(REQUEST, route, SERVICE, steady_seconds() + seconds, disconnected)
 
-    def failure(self, route, seconds=2.0, gone=None, **pools):
+    def failure(self, route, seconds=2.0, disconnected=None, **pools):
         with self.assertRaises(RunkeelError) as caught:
-            self.forward(route, seconds, gone, **pools)
+            self.forward(route, seconds, disconnected, **pools)
         return caught.exception
 
     @property
@@ -118,9 +118,11 @@
         self.assertEqual(self.counted, 1)
 
     def test_client_disconnect_cancels_the_attempt(self):
-        gone = Event()
-        gevent.spawn_later(0.05, gone.set)
-        error = self.failure(make_route(attempts=1), 60.0, gone, a=ScriptedPool(unresponsive))
+        disconnected = Event()
+        gevent.spawn_later(0.05, disconnected.set)
+        error = self.failure(
+            make_route(attempts=1), 60.0, disconnected, a=ScriptedPool(unresponsive)
+        )
         self.assertEqual(error.code, ErrorCode.CANCELLED)
 
     def test_failed_server_is_chosen_last(self):
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -53,18 +53,18 @@
         self.trial_requests += 1
         return TrialAnswer(self.granted, 0.0 if self.granted else RETRY_SECONDS)
 
-    def forward(self, route, pools, request=REQUEST, gone=None):
+    def forward(self, route, pools, request=REQUEST, disconnected=None):
         meter = UsageMeter(5.0, lambda: 1_000.0)
         self.directory = directory_of(**pools)
         forwarder = Forwarder(self.directory, StatusProtocol(), "here", meter, self.quarantine)
-        return forwarder.forward(request, route, SERVICE, steady_seconds() + 2.0, gone)
+        return forwarder.forward(request, route, SERVICE, steady_seconds() + 2.0, disconnected)
 
     def failure(self, route, pools, request=REQUEST):
         with self.assertRaises(RunkeelError) as caught:
             self.forward(route, pools, request)
         return caught.exception
 
-    def hold(self):
+    def quarantine_request(self):
         fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
         for name in ("x", "y", "z"):
             self.ledger.record_crash(fingerprint, SERVICE, name)
@@ -81,8 +81,8 @@
         self.assertIs(error.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(self.requests(pools), 3)
 
-    def test_held_request_is_rejected_as_not_run(self):
-        fingerprint = self.hold()
+    def test_quarantined_request_is_rejected_as_not_run(self):
+        fingerprint = self.quarantine_request()
         pools = {"a": ScriptedPool(200)}
         error = self.failure(make_route(), pools)
         self.assertEqual(error.code, ErrorCode.REQUEST_QUARANTINED)
@@ -91,48 +91,48 @@
         self.assertIn(fingerprint, error.detail)
         self.assertEqual(self.requests(pools), 0)
 
-    def test_coordinator_is_not_asked_for_each_held_request(self):
-        self.hold()
+    def test_coordinator_is_not_asked_for_each_quarantined_request(self):
+        self.quarantine_request()
         for _ in range(50):
             error = self.failure(make_route(), {"a": ScriptedPool(200)})
         self.assertEqual(self.trial_requests, 1)
         self.assertAlmostEqual(error.retry_after_seconds, RETRY_SECONDS, delta=1.0)
 
     def test_coordinator_is_asked_again_after_another_crash(self):
-        fingerprint = self.hold()
+        fingerprint = self.quarantine_request()
         self.failure(make_route(), {"a": ScriptedPool(200)})
         self.ledger.record_crash(fingerprint, SERVICE, "w")
         self.failure(make_route(), {"a": ScriptedPool(200)})
         self.assertEqual(self.trial_requests, 2)
 
     def test_other_requests_are_not_affected(self):
-        self.hold()
+        self.quarantine_request()
         other = ForwardedRequest("r", "POST", "/p", "h", (), b"", tenant="school")
         self.assertEqual(self.forward(make_route(), {"a": ScriptedPool(200)}, other).status, 200)
 
     def test_trial_is_sent_to_one_server_only(self):
         self.granted = True
-        self.hold()
+        self.quarantine_request()
         pools = crashing_pools("a", "b", "c")
         self.failure(make_route(), pools)
         self.assertEqual(self.requests(pools), 1)
 
     def test_successful_trial_releases_the_request(self):
         self.granted = True
-        fingerprint = self.hold()
+        fingerprint = self.quarantine_request()
         self.assertEqual(self.forward(make_route(), {"a": ScriptedPool(200)}).status, 200)
         self.assertFalse(self.ledger.get(fingerprint).quarantined)
 
     def test_trial_refused_by_a_server_is_used_up(self):
         self.granted = True
-        self.hold()
+        self.quarantine_request()
         pools = {"a": ScriptedPool(503), "b": ScriptedPool(503)}
         self.failure(make_route(), pools)
         self.assertEqual(self.trial_requests, self.requests(pools))
 
     def test_trial_that_reached_no_server_continues_and_is_returned(self):
         self.granted = True
-        fingerprint = self.hold()
+        fingerprint = self.quarantine_request()
         self.ledger.record_trial(fingerprint)
         pools = {name: ScriptedPool(unreachable()) for name in ("a", "b")}
         self.failure(make_route(), pools)
@@ -159,10 +159,12 @@
 
     def test_server_that_disappears_after_a_client_disconnect_has_crashed(self):
         """A client that disconnects early must not hide which request crashes servers."""
-        gone = Event()
-        gevent.spawn_later(0.05, gone.set)
+        disconnected = Event()
+        gevent.spawn_later(0.05, disconnected.set)
         with self.assertRaises(RunkeelError):
-            self.forward(make_route(attempts=1), {"a": ScriptedPool(unresponsive)}, gone=gone)
+            self.forward(
+                make_route(attempts=1), {"a": ScriptedPool(unresponsive)}, disconnected=disconnected
+            )
         gevent.sleep(0)
         self.quarantine.crash_detector.backend_gone(self.directory.get("a"))
         self.assertEqual(len(self.ledger), 1)
@@ -231,14 +233,14 @@
 class StreamQuarantineTest(ForwarderQuarantineTest):
     """Runs the same tests for streams."""
 
-    def forward(self, route, pools, request=REQUEST, gone=None):
+    def forward(self, route, pools, request=REQUEST, disconnected=None):
         meter = UsageMeter(5.0, lambda: 1_000.0)
         self.directory = directory_of(**pools)
         forwarder = StreamForwarder(
             self.directory, StatusProtocol(), "here", meter, self.quarantine
         )
         deadline = steady_seconds() + 2.0
-        stream = forwarder.open(request, route, SERVICE, deadline, gone or Event())
+        stream = forwarder.open(request, route, SERVICE, deadline, disconnected or Event())
         if not isinstance(stream.body, bytes):
             list(stream.body)
         return stream
--- a/tests/gateway/test_routing.py
+++ b/tests/gateway/test_routing.py
@@ -49,7 +49,7 @@
         self.assertFalse(self.table.apply(make_configuration(5, make_route("same", "/p/"))))
         self.assertEqual(self.name_of("h", "/p/x"), "new")
 
-    def test_request_keeps_the_version_that_it_began_with(self):
+    def test_snapshot_keeps_its_version_when_a_newer_one_is_applied(self):
         self.table.apply(make_configuration(1, make_route("before", "/p/")))
         held = self.table.in_force
         self.table.apply(make_configuration(2, make_route("after", "/p/")))
--- a/tests/gateway/test_starts_fuzz.py
+++ b/tests/gateway/test_starts_fuzz.py
@@ -26,12 +26,12 @@
     def test_accepting_an_update_of_a_previous_start_is_detected(self):
         resolve = IncarnationTracker.resolve
 
-        def settle_without_history(starts, backend, revision):
+        def resolve_without_history(starts, backend, revision):
             for known in starts._known.values():
                 known.previous.clear()
             return resolve(starts, backend, revision)
 
-        with mock.patch.object(IncarnationTracker, "resolve", settle_without_history):
+        with mock.patch.object(IncarnationTracker, "resolve", resolve_without_history):
             self.assertIsNotNone(find_violation(StartsMachine, FEW))
 
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -35,7 +35,7 @@
     def setUp(self):
         self.protocol = StatusProtocol()
         self.meter = UsageMeter(5.0, lambda: 1_000.0)
-        self.gone = Event()
+        self.disconnected = Event()
 
     def open(self, route, last=(), **pools):
         """Open a stream; the servers in ``last`` are chosen after all others."""
@@ -45,7 +45,7 @@
         forwarder = StreamForwarder(
             self.directory, self.protocol, "here", self.meter, open_quarantine()
         )
-        return forwarder.open(REQUEST, route, SERVICE, steady_seconds() + 5.0, self.gone)
+        return forwarder.open(REQUEST, route, SERVICE, steady_seconds() + 5.0, self.disconnected)
 
     @property
     def counted(self):
@@ -69,18 +69,18 @@
     def test_stream_that_cannot_resume_is_aborted_after_the_last_complete_event(self):
         pool = ScriptedPool(200, [b"1\n\n2\n\n3", lost()])
         stream = self.open(make_route(attempts=1), a=pool)
-        passed = []
+        relayed = []
         with self.assertRaises(ResponseAbortedError):
-            passed.extend(stream.body)
-        self.assertEqual(b"".join(passed), b"1\n\n2\n\n")
+            relayed.extend(stream.body)
+        self.assertEqual(b"".join(relayed), b"1\n\n2\n\n")
         self.assertEqual(self.in_flight(), 0)
 
     def test_event_out_of_sequence_is_not_relayed(self):
         stream = self.open(make_route(attempts=1), a=ScriptedPool(200, [b"1\n\n3\n\n"]))
-        passed = []
+        relayed = []
         with self.assertRaises(ResponseAbortedError):
-            passed.extend(stream.body)
-        self.assertEqual(passed, [b"1\n\n"])
+            relayed.extend(stream.body)
+        self.assertEqual(relayed, [b"1\n\n"])
 
     def test_non_resumable_stream_is_not_resumed(self):
         pools = {name: ScriptedPool(200, [b"x", lost()]) for name in ("a", "b")}
@@ -109,7 +109,7 @@
     def test_stream_is_not_resumed_after_a_client_disconnect(self):
         broken = ScriptedPool(200, [b"1\n\n", lost()])
         stream = self.open(make_route(), last=["b"], a=broken, b=ScriptedPool())
-        self.gone.set()
+        self.disconnected.set()
         with self.assertRaises(ResponseAbortedError):
             list(stream.body)
         self.assertEqual(self.directory.get("b").pool.requests, 0)
