--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -1,8 +1,8 @@
 """HTTP listener for client requests that are forwarded to servers.
 
-Built on gevent's WSGI server. Unlike :mod:`runkeel.http.server`, it passes on the request target
-and headers unchanged, notifies the handler when the client disconnects, and never terminates an
-incomplete response as if it were complete.
+Built on gevent's WSGI server. Passes on the request target and headers unchanged, notifies the
+handler when the client disconnects, and never terminates an incomplete response as if it were
+complete.
 """
 
 from __future__ import annotations
