--- a/src/runkeel/wire/dialing.py
+++ b/src/runkeel/wire/dialing.py
@@ -25,6 +25,8 @@
 MIN_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 2.0
 MAX_PEERS = 2_048
+"""Maximum number of peers whose state is kept; at the limit, disconnected ones are evicted."""
+
 _PARTITION_POLL_SECONDS = 0.05
 
 
@@ -93,7 +95,10 @@
     def _peer(self, node_id: str) -> _Peer:
         entry = self._address_book(node_id)
         if entry is None or self._stopped:
-            raise not_run(ErrorCode.PEER_UNREACHABLE, f"no address known for {node_id}")
+            raise not_run(
+                ErrorCode.PEER_UNREACHABLE,
+                f"no address known for {node_id}, or this node is stopping",
+            )
         address, zone = entry
         peer = self._peers.get(node_id)
         if peer is not None and (peer.address, peer.zone) == (address, zone):
--- a/src/runkeel/wire/handlers.py
+++ b/src/runkeel/wire/handlers.py
@@ -88,7 +88,7 @@
         if running_for_peer >= MAX_HANDLERS_PER_PEER or len(self._running) >= MAX_RUNNING_HANDLERS:
             metrics.STREAMS_REFUSED.inc()
             return not_run(
-                ErrorCode.QUEUE_FULL, "too many concurrent streams", _BUSY_RETRY_AFTER_SECONDS
+                ErrorCode.QUEUE_FULL, "too many running handlers", _BUSY_RETRY_AFTER_SECONDS
             )
         return None
 
--- a/src/runkeel/wire/network.py
+++ b/src/runkeel/wire/network.py
@@ -32,8 +32,12 @@
 MAX_PENDING_HANDSHAKES = 64
 HANDSHAKE_TIMEOUT_SECONDS = 2.0
 CHECK_INTERVAL_SECONDS = 0.25
+"""Interval of the liveness checks of all connections."""
+
 LISTEN_BACKLOG = 256
 _MAX_CHECK_DELAY_SECONDS = 1.0
+"""Delay of a liveness check above which this process is assumed to have been paused."""
+
 _ACCEPT_RETRY_SECONDS = 0.5
 _PARTITION_POLL_SECONDS = 0.05
 
@@ -121,8 +125,9 @@
         """Send a request and return its reply.
 
         Raises:
-            RunkeelError: PEER_UNREACHABLE (NOT_RUN: nothing was sent), PEER_LOST or
-                DEADLINE_EXCEEDED (MAY_HAVE_RUN), or the error that the peer reported.
+            RunkeelError: with verdict NOT_RUN if nothing was sent: PEER_UNREACHABLE, QUEUE_FULL,
+                DEADLINE_EXCEEDED or PROTOCOL_ERROR; otherwise with MAY_HAVE_RUN: PEER_LOST,
+                DEADLINE_EXCEEDED or PROTOCOL_ERROR; or the error that the peer reported.
         """
         deadline = steady_seconds() + timeout_seconds
         stream = self._open_to(node_id, message_type, message, deadline)
@@ -142,7 +147,10 @@
         return decode(reply_class, body)
 
     def open_stream(self, node_id: str, message_type: int, message: Any) -> Stream:
-        """Open a stream with its first message. Raises like :meth:`call`."""
+        """Open a stream with its first message.
+
+        Raises the NOT_RUN errors of :meth:`call`, except DEADLINE_EXCEEDED.
+        """
         return self._open_to(
             node_id, message_type, message, steady_seconds() + DIAL_TIMEOUT_SECONDS
         )
@@ -211,7 +219,11 @@
         )
 
     def _check_connections(self) -> None:
-        """Check all connections periodically; a pause of this process counts against no peer."""
+        """Check all connections periodically.
+
+        After a pause of this process the peers' timeouts restart, as their messages may not have
+        been read yet.
+        """
         last = steady_seconds()
         while True:
             gevent.sleep(CHECK_INTERVAL_SECONDS)
--- a/src/runkeel/wire/streams.py
+++ b/src/runkeel/wire/streams.py
@@ -156,7 +156,7 @@
             self._end(may_have_run(ErrorCode.CANCELLED, "the stream handler has returned"))
 
     def release(self) -> None:
-        """Remove the stream without notifying the peer, where it has ended already."""
+        """Remove the stream from its connection without notifying the peer."""
         self._sink.remove_stream(self)
 
     def deliver(self, message_type: int, body: bytes) -> None:
