--- a/tests/wire/test_network.py
+++ b/tests/wire/test_network.py
@@ -68,7 +68,7 @@
         self.b.on_call(CALL, HttpHeader, lambda peer, request: 1 / 0)
         self.assert_fails(ErrorCode.INTERNAL, Verdict.MAY_HAVE_RUN, self.call)
 
-    def test_unserved_type_is_not_run(self):
+    def test_message_type_without_a_handler_is_not_run(self):
         self.assert_fails(ErrorCode.PROTOCOL_ERROR, Verdict.NOT_RUN, self.call)
 
     def test_timeout_after_the_send_may_have_run(self):
