--- a/src/runkeel/quarantine/crash_detector.py
+++ b/src/runkeel/quarantine/crash_detector.py
@@ -73,7 +73,8 @@
         """Classify a lost connection; blocks for at most :data:`PROBE_TIMEOUT_SECONDS`.
 
         Args:
-            probe: whether to probe the server; False if it only did not respond in time.
+            probe: whether to probe the server; False if the attempt was abandoned without a
+                response.
         """
         if lost.state.replaced:
             if not lost.state.backend.draining:
--- a/src/runkeel/quarantine/crash_ledger.py
+++ b/src/runkeel/quarantine/crash_ledger.py
@@ -1,4 +1,4 @@
-"""A node's table of requests that servers crashed under, bounded in size and age."""
+"""A node's records of requests during which servers crashed, bounded in number and age."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         """Return the record of a request, or None if there is none or it has expired."""
         record = self._records.get(fingerprint)
         if record is not None and self._expired(record):
-            self._forget(fingerprint)
+            self._remove(fingerprint)
             return None
         return record
 
@@ -75,10 +75,10 @@
     def record_crash(self, fingerprint: str, service: str, incarnation: str) -> CrashRecord:
         """Record that a server crashed while it ran a request."""
         known = self.get(fingerprint) or CrashRecord(fingerprint, service)
-        ended = CrashRecord(
+        crash = CrashRecord(
             fingerprint, service, known.clearance, frozenset((incarnation,)), 0, 0, self._now()
         )
-        return self._put(merge(known, ended), "")
+        return self._put(merge(known, crash), "")
 
     def clear(self, fingerprint: str) -> bool:
         """Clear the crashes of a request on all nodes; returns False if none are recorded."""
@@ -90,7 +90,7 @@
         return True
 
     def record_trial(self, fingerprint: str) -> None:
-        """Record that a trial was granted."""
+        """Record that a trial, a single send of a quarantined request, was granted."""
         known = self.get(fingerprint)
         if known is not None:
             self._put(replace(known, trials=known.trials + 1, changed_at=self._now()), "")
@@ -118,15 +118,15 @@
     def _put(self, record: CrashRecord, source: str) -> CrashRecord:
         before = self._records.get(record.fingerprint)
         self._records[record.fingerprint] = record
-        # Updated incrementally, because every pong carries the digest.
+        # Updated incrementally, because every reply to a ping carries the digest.
         self.digest ^= record.digest ^ (0 if before is None else before.digest)
         if len(self._records) > self._maximum:
-            self._forget(min(self._records.values(), key=_retention_priority).fingerprint)
+            self._remove(min(self._records.values(), key=_retention_priority).fingerprint)
         for listener in self._listeners:
             listener(record, before, source)
         return record
 
-    def _forget(self, fingerprint: str) -> None:
+    def _remove(self, fingerprint: str) -> None:
         record = self._records.pop(fingerprint)
         self.digest ^= record.digest
         if record.quarantined:
--- a/src/runkeel/quarantine/crash_record.py
+++ b/src/runkeel/quarantine/crash_record.py
@@ -1,4 +1,4 @@
-"""Record of a request that servers crashed under, mergeable between nodes.
+"""Record of a request during which servers crashed, mergeable between nodes.
 
 Merging is commutative, associative and idempotent: sets of crashed servers are united, trial
 counters take their maximum, and a record with a higher clearance replaces older ones.
@@ -12,7 +12,7 @@
 from runkeel.wire.generated.quarantine.ttypes import CrashNews
 
 QUARANTINE_THRESHOLD = 3
-"""Number of servers that must crash under a request before it is quarantined.
+"""Number of servers that must crash while running a request before it is quarantined.
 
 A success clears the count, so unrelated crashes rarely add up to it.
 """
@@ -30,8 +30,8 @@
 
     Attributes:
         clearance: number of times the request was cleared, by a success or by an operator.
-        ended: incarnations of the servers that crashed under it since the last clearance.
-        trials: number of trials granted since the last clearance.
+        ended: incarnations of the servers that crashed during it since the last clearance.
+        trials: number of trials (single sends while quarantined) granted since the last clearance.
         trials_returned: number of granted trials that reached no server.
         changed_at: steady time, in seconds, of the last known crash, clearance or granted trial.
     """
@@ -46,7 +46,7 @@
 
     @property
     def quarantined(self) -> bool:
-        """Whether the request is quarantined: only trials are sent to servers."""
+        """Whether the request is quarantined, so that it is sent to servers only in trials."""
         return len(self.ended) >= QUARANTINE_THRESHOLD
 
     @property
--- a/src/runkeel/quarantine/crash_record_writer.py
+++ b/src/runkeel/quarantine/crash_record_writer.py
@@ -110,12 +110,12 @@
     def _read(self) -> Document | None:
         document = read_records(self._store, self._shard, self._ledger)
         content = document.content if document is not None else {}
-        self._stored_digests = {one.digest for one in _records(content)}
+        self._stored_digests = {one.digest for one in _decode_records(content)}
         return document
 
     def _write(self, document: Document | None) -> Document | None:
         """Write the records if they have changed; returns the current document."""
-        records = self._stored_records()
+        records = self._records_to_store()
         digests = {one.digest for one in records}
         if digests == self._stored_digests:
             return document
@@ -141,18 +141,18 @@
         )
         return document
 
-    def _stored_records(self) -> list[CrashRecord]:
+    def _records_to_store(self) -> list[CrashRecord]:
         selected = [one for one in self._ledger.records() if len(one.ended) >= MIN_STORED_CRASHES]
         selected.sort(key=lambda one: (len(one.ended), one.changed_at), reverse=True)
         return selected[:MAX_STORED_RECORDS]
 
 
 def _merge_document(document: Document, ledger: CrashLedger) -> None:
-    for record in _records(document.content):
+    for record in _decode_records(document.content):
         ledger.merge_record(record, "")
 
 
-def _records(content: Any) -> list[CrashRecord]:
+def _decode_records(content: Any) -> list[CrashRecord]:
     """Return the records of a document, skipping malformed ones."""
     records = []
     for one in content.get("records", ()):
--- a/src/runkeel/quarantine/gossip.py
+++ b/src/runkeel/quarantine/gossip.py
@@ -2,8 +2,8 @@
 
 Each node forwards records that are new to it to its neighbours, so that updates spread even while
 the coordinator, the store or some nodes are unavailable. The cost grows with the number of
-changes, not with traffic. Nodes that missed updates are found by a digest in the coordinator's
-pongs.
+changes, not with traffic. A node that missed updates notices it by the ledger digest in the
+coordinator's replies to pings, and exchanges all records with it.
 """
 
 from __future__ import annotations
@@ -59,9 +59,9 @@
     """Sends changed records of a node's ledger to other nodes.
 
     Args:
-        neighbours: nodes that this node sends updates to.
-        coordinator: the coordinator, if it is another node; it is notified directly of changes
-            made by this node.
+        neighbours: returns the nodes that this node sends updates to.
+        coordinator: returns the coordinator, or None if that is this node or unknown; it is
+            notified directly of changes made by this node.
     """
 
     def __init__(
@@ -136,6 +136,7 @@
             pending = self._pending.setdefault(neighbour, set())
             pending.add(record.fingerprint)
             if len(pending) > 2 * MAX_RECORDS:
+                # Bounds memory: records that the ledger has evicted need not be sent.
                 pending.intersection_update({one.fingerprint for one in self._ledger.records()})
             if neighbour not in self._send_tasks:
                 self._send_tasks[neighbour] = gevent.spawn(self._send_pending, neighbour)
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -83,11 +83,11 @@
         return WatchedRequest(self, identify, service, request_id)
 
     def ask(self, record: CrashRecord, wait_seconds: float) -> TrialAnswer:
-        """Ask for a trial, waiting for up to ``wait_seconds`` while the service is busy with one.
+        """Ask for a trial, repeatedly while another request of the service is on trial.
 
         Args:
-            record: the request's record.
-            wait_seconds: maximum wait while another request of the service is on trial.
+            record: the record of the quarantined request.
+            wait_seconds: time after which to stop asking again.
         """
         deadline = steady_seconds() + wait_seconds
         while True:
--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -27,8 +27,8 @@
 """Time-out of a call that asks the coordinator for a trial."""
 
 CATCH_UP_TIMEOUT_SECONDS = 1.5
-"""A starting node that knows routes and servers for this long serves requests even if it has not
-received the crash records. They normally arrive within milliseconds after the routes.
+"""A starting node that has known routes and servers for this long serves requests even if it has
+not received the crash records. They normally arrive within milliseconds after the routes.
 """
 
 CATCH_UP_POLL_SECONDS = 0.02
@@ -46,16 +46,16 @@
 
     Args:
         secret: fingerprint key shared by the cluster's nodes.
-        coordinator: the coordinator as this node knows it; None when that is this node.
-        neighbours: nodes that this node sends updates to.
-        coordinates: whether this node is the coordinator, which decides on trials.
+        coordinator: returns the coordinator, or None if that is this node or unknown.
+        neighbours: returns the nodes that this node sends updates to.
+        is_coordinator: returns whether this node is the coordinator, which decides on trials.
         directory: the servers that this node knows.
         knows_routes_and_servers: returns whether this node knows a routing configuration and the
             servers.
 
     Attributes:
         caught_up: set once this node has the crash records of the other nodes, or has known the
-            routes for :data:`CATCH_UP_TIMEOUT_SECONDS` without receiving them.
+            routes and servers for :data:`CATCH_UP_TIMEOUT_SECONDS` without receiving them.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         secret: bytes,
         coordinator: Callable[[], Coordinator | None],
         neighbours: Callable[[], list[str]],
-        coordinates: Callable[[], bool],
+        is_coordinator: Callable[[], bool],
         directory: BackendDirectory,
         knows_routes_and_servers: Callable[[], bool],
     ) -> None:
@@ -75,7 +75,7 @@
         self._shard = shard
         self._store = store
         self._coordinator = coordinator
-        self._coordinates = coordinates
+        self._is_coordinator = is_coordinator
         self.quarantine = Quarantine(secret, self._ask_trial)
         ledger = self.quarantine.ledger
         self._directory = directory
@@ -137,7 +137,7 @@
                 state.mark_ended()
 
     def _catch_up(self) -> None:
-        """Query the store and the coordinator concurrently until one of them has responded."""
+        """Get the records from the store or the coordinator, whichever responds first."""
         started = steady_seconds()
         sources = (self._read_store, self._query_coordinator)
         queries = [gevent.spawn(self._retry, query) for query in sources]
@@ -171,7 +171,7 @@
         return source
 
     def _read_store(self) -> str:
-        """Return the source of the records; empty if the store did not respond."""
+        """Merge the stored records; returns ``store``, or an empty string if it did not respond."""
         try:
             read_records(
                 self._store, self._shard, self.quarantine.ledger, CATCH_UP_CALL_TIMEOUT_SECONDS
@@ -186,7 +186,7 @@
         return "store"
 
     def _query_coordinator(self) -> str:
-        """Return the source of the records; empty if no coordinator responded."""
+        """Exchange records with the coordinator; returns its id, or an empty string on failure."""
         coordinator = self._coordinator()
         if coordinator is None:
             return ""
@@ -202,7 +202,7 @@
         return coordinator.node_id
 
     def _ask_trial(self, record: CrashRecord) -> TrialAnswer:
-        if self._coordinates():
+        if self._is_coordinator():
             return self._arbiter.ask(record, "")
         coordinator = self._coordinator()
         if coordinator is None:
@@ -229,7 +229,7 @@
         return TrialAnswer(reply.granted, reply.retry_after_ms / 1000.0)
 
     def _answer_trial(self, peer: str, message: TrialRequest) -> tuple[int, TrialReply]:
-        if self._coordinates():
+        if self._is_coordinator():
             answer = self._arbiter.ask(from_wire(message.record, steady_seconds()), peer)
         else:
             answer = TrialAnswer(False, NO_COORDINATOR_RETRY_SECONDS)
--- a/src/runkeel/quarantine/trials.py
+++ b/src/runkeel/quarantine/trials.py
@@ -1,4 +1,4 @@
-"""Grants trials, single sends of quarantined requests, as crashes may have had another cause.
+"""Grants trials: single sends of a quarantined request, whose crashes may have had another cause.
 
 The coordinator decides for all nodes, which bounds the number of trials. At most one request of a
 service is on trial at a time, so that a crash can be attributed to it.
@@ -17,16 +17,16 @@
 from runkeel.quarantine.crash_record import CrashRecord
 
 TRIAL_DELAYS_SECONDS = (0.0, 10.0, 900.0)
-"""Delay before each trial, counted from the last crash or trial; its length bounds their number.
+"""Delay before each trial, counted from the last crash or trial; there are no further trials.
 
 The first trial is granted without delay, so that a request that met three unrelated crashes
 succeeds on its next retry.
 """
 
 TRIAL_TIMEOUT_SECONDS = 3.0
-"""A trial without a reported outcome is considered finished after this time.
+"""A trial without a reported outcome no longer blocks others of its service after this time.
 
-Its node may have crashed, or its server neither responded nor crashed.
+The node that sent it may have crashed, or the server neither responded nor crashed.
 """
 
 BUSY_RETRY_SECONDS = 0.1
