--- a/src/runkeel/usage/clock.py
+++ b/src/runkeel/usage/clock.py
@@ -9,7 +9,7 @@
 from runkeel.clock import steady_seconds
 
 SAMPLE_COUNT = 61
-"""Number of offsets between wall clock and steady clock of which the median is used.
+"""Number of samples of the offset between wall clock and steady clock; their median is used.
 
 A jump of the wall clock that is corrected within half of these samples has no effect.
 """
--- a/src/runkeel/usage/ledger.py
+++ b/src/runkeel/usage/ledger.py
@@ -1,7 +1,7 @@
 """Usage counts of each window, and the final counts decided for its report.
 
-The ledger is one document in the store, replaced only if its revision is unchanged. A window is
-decided by a replacement that contains its final counts, so that every later coordinator reports
+The ledger is one document in the store, changed by compare-and-swap on its revision. A window's
+final counts are written to it before they are reported, so that every later coordinator reports
 exactly these.
 """
 
--- a/src/runkeel/usage/meter.py
+++ b/src/runkeel/usage/meter.py
@@ -55,7 +55,7 @@
         """Count a request if a server received it.
 
         Args:
-            number: returned by :meth:`open`.
+            number: returned by :meth:`start_request`.
             began_at: when a server received it, in seconds since the Unix epoch; None if none did.
         """
         if self._started_at.pop(number, None) is None or began_at is None:
--- a/src/runkeel/usage/usage_aggregator.py
+++ b/src/runkeel/usage/usage_aggregator.py
@@ -42,7 +42,10 @@
 """
 
 ACTIVE_SOURCE_WINDOWS = 3
-"""A source that sent counts within this many windows must complete a window before its decision."""
+"""Before its deadline, a window is decided only if all active sources have completed it.
+
+A source is active if it sent counts within this many windows before the end of the window.
+"""
 
 REPORT_TIMEOUT_SECONDS = 1.0
 """Time-out of a report to the platform."""
@@ -75,6 +78,7 @@
     been written to the store. A new instance is created for each term.
 
     Args:
+        name: name of the ledger's document.
         epoch: the term.
         lease: ensures that only one node at a time reports usage to the platform.
         holder: name of this node in calls to the platform.
--- a/src/runkeel/usage/usage_reporter.py
+++ b/src/runkeel/usage/usage_reporter.py
@@ -89,6 +89,7 @@
         return seconds - self._meter.now() % seconds + WINDOW_END_DELAY_SECONDS
 
     def _update_due(self, target: Coordinator) -> bool:
+        """Return whether to send unacknowledged counts, or that ended windows are complete."""
         if self._unacknowledged(target):
             return True
         current = self._meter.window_of(self._meter.now())
@@ -134,7 +135,7 @@
         if self._failing:
             self._failing = False
             logger.info(
-                "usage counts sent again",
+                "usage counts are acknowledged again",
                 code="usage_told",
                 ms=int((steady_seconds() - started) * 1000),
             )
@@ -143,7 +144,7 @@
     def _on_failure(self, target: Coordinator, reason: str) -> None:
         if not self._failing:
             logger.info(
-                "usage counts not sent",
+                "usage counts not acknowledged by the coordinator",
                 code="usage_untold",
                 coordinator=target.node_id,
                 epoch=target.epoch,
