--- a/src/runkeel/runners/hosted_run.py
+++ b/src/runkeel/runners/hosted_run.py
@@ -23,7 +23,8 @@
     """Runs a generation, has its output scored, and tracks what was reported to the coordinator.
 
     Args:
-        loading: returns whether the engine is loading a version, so that a pause is expected.
+        loading: returns whether the engine is loading a version, so that a long gap between events
+            is expected.
         on_ended: called once the outcome is known.
     """
 
@@ -42,7 +43,7 @@
         self._on_ended = on_ended
         self._deadline = steady_seconds() + message.remaining_ms / 1000.0
         self._output = PartialOutput([], message.resume_after or None, list(message.versions))
-        request = _request(message)
+        request = _generation_request(message)
         self._quarantine_watch = quarantine.watch(
             lambda: quarantine.fingerprinter.of_generation(request),
             state.backend.service,
@@ -68,7 +69,7 @@
 
     @property
     def blocked_by_quarantine(self) -> bool:
-        """Whether the item is quarantined, having ended engines, and this run is no trial."""
+        """Whether the item is quarantined and this run is not a trial."""
         return self._quarantine_watch.quarantined and not self._quarantine_watch.on_trial
 
     @property
@@ -148,7 +149,7 @@
         self._on_ended()
 
 
-def _request(message: ItemRunStart) -> GenerationRequest:
+def _generation_request(message: ItemRunStart) -> GenerationRequest:
     return GenerationRequest(
         request_id=message.request_id,
         path=message.path,
--- a/src/runkeel/runners/pool.py
+++ b/src/runkeel/runners/pool.py
@@ -1,4 +1,4 @@
-"""Recruits nodes as runners of batch items on the coordinator and assigns runs to them."""
+"""Coordinator's side: invites nodes as runners of batch items and assigns runs to them."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 )
 from runkeel.wire.network import PeerNetwork
 
-PLAN_INTERVAL_SECONDS = 0.4
+MAINTENANCE_INTERVAL_SECONDS = 0.4
 """Interval at which lost runners are dropped and further nodes invited."""
 
 INVITE_RETRY_SECONDS = 1.0
@@ -46,7 +46,7 @@
 """Timeout of a call that sends an invitation or a start."""
 
 SAMPLED_RUNNERS = 4
-"""Number of runners sampled at random to choose the least loaded one from."""
+"""Size of the random sample of runners from which the least loaded one is taken."""
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
     Attributes:
         session: id of its current lease session; a new one begins when the lease expires.
         last_heard_at: when its last progress message came, on the steady clock, in seconds.
-        late_ms: its event loop lag in milliseconds.
+        loop_lag_ms: its event loop lag in milliseconds.
         runs: by id, the runs that it may be running.
         run_ids_to_end: ids of the runs that it should end.
     """
@@ -65,14 +65,14 @@
     zone: str
     session: str = ""
     last_heard_at: float = 0.0
-    late_ms: int = 0
+    loop_lag_ms: int = 0
     runs: dict[str, RemoteRun] = field(default_factory=dict)
     run_ids_to_end: set[str] = field(default_factory=set)
 
     @property
     def has_capacity(self) -> bool:
         """Whether it has capacity for one more run."""
-        return len(self.runs) < MAX_RUNS_PER_RUNNER and self.late_ms < MAX_LOOP_LAG_MILLISECONDS
+        return len(self.runs) < MAX_RUNS_PER_RUNNER and self.loop_lag_ms < MAX_LOOP_LAG_MILLISECONDS
 
 
 class RunnerPool:
@@ -128,7 +128,7 @@
         return self._total_slots() > MAX_LOCAL_RUNS
 
     def set_open_items(self, items: int) -> None:
-        """Update the number of items that are waiting or running."""
+        """Note demand for runners if more items are open (waiting or running) than run here."""
         if items > MAX_LOCAL_RUNS:
             self._last_demand_at = steady_seconds()
 
@@ -141,7 +141,7 @@
 
     def start(self) -> None:
         """Start inviting nodes."""
-        self._spawn(self._plan_loop)
+        self._spawn(self._maintain_runners)
 
     def stop(self) -> None:
         """Stop inviting; runners end their runs on the reply to their next progress message."""
@@ -206,12 +206,12 @@
 
     # Invitations
 
-    def _plan_loop(self) -> None:
+    def _maintain_runners(self) -> None:
         while True:
             self._drop_lost_runners()
             for address in self._nodes_to_invite():
                 self._spawn(self._invite, address)
-            gevent.sleep(PLAN_INTERVAL_SECONDS)
+            gevent.sleep(MAINTENANCE_INTERVAL_SECONDS)
 
     def _total_slots(self) -> int:
         return sum(self._slots_by_zone().values())
@@ -266,7 +266,7 @@
             )
         except RunkeelError as error:
             logger.info(
-                "runner unreachable for invitation",
+                "node did not respond to the invitation to run items",
                 code="runner_unreached",
                 runner=address.node_id,
                 error=str(error.code),
@@ -309,7 +309,7 @@
             runner.run_ids_to_end.add(run_id)
 
     def apply_progress(self, peer: str, message: ItemRunProgress) -> ItemRunProgressReply:
-        """Apply a runner's progress message; a coordinating reply renews its lease."""
+        """Apply a runner's progress message; renews its lease unless the reply releases it."""
         known = self._invited.get(peer)
         if self._stopped or message.epoch != self._epoch or known is None:
             return ItemRunProgressReply(False, [], [])
@@ -318,7 +318,7 @@
             self._mark_runs_lost(runner, "the runner's lease expired")
             runner.session = message.session
         runner.last_heard_at = steady_seconds()
-        runner.late_ms = message.late_ms
+        runner.loop_lag_ms = message.late_ms
         unknown = self._apply_updates(runner, message)
         if not self.needs_runners and not runner.runs:
             self._release(runner)
@@ -371,7 +371,7 @@
         for runner in [one for one in self._runners.values() if one.last_heard_at < oldest]:
             self._remove_runner(runner)
             logger.info(
-                "runner lost",
+                "runner lost: no progress message until its lease expired",
                 code="runner_lost",
                 runner=runner.node_id,
                 runs=len(runner.runs),
--- a/src/runkeel/runners/remote_run.py
+++ b/src/runkeel/runners/remote_run.py
@@ -30,7 +30,7 @@
         request_end: called with the run's id to have the runner end it.
 
     Attributes:
-        score: the scorer's stamp; empty if the output was not scored.
+        score: the scorer's signature of its response; empty if the output was not scored.
         scoring_error: why scoring failed; empty if it succeeded or was not needed.
     """
 
--- a/src/runkeel/runners/service.py
+++ b/src/runkeel/runners/service.py
@@ -158,7 +158,7 @@
             message, state, self._protocol, self._scorer, self._quarantine, loading, on_ended
         )
         return (
-            "item is quarantined: backends ended while running it"
+            "item is quarantined: backends crashed while running it"
             if run.blocked_by_quarantine
             else run
         )
@@ -180,7 +180,9 @@
         self._last_reply_at = self._renewed_at
         self._runs: dict[str, HostedRun] = {}
         self._refused: dict[str, None] = {}
+        """Ids of unwanted runs, oldest first; a start that arrives late is refused."""
         self._never_started: list[str] = []
+        """Ids of unwanted runs that are still to be reported as refused."""
         self._loading: frozenset[str] = frozenset()
         self._update_ready = Event()
         self._tasks: list[gevent.Greenlet] = []
@@ -191,7 +193,7 @@
     def start(self) -> None:
         """Start reporting progress."""
         logger.info(
-            "running items for coordinator",
+            "accepted an invitation to run items",
             code="runner_engaged",
             coordinator=self._coordinator,
             epoch=self.epoch,
@@ -264,7 +266,7 @@
         """Send pending updates and apply the reply; without a reply they are sent again."""
         updates = [run.update() for run in self._runs.values() if run.has_update]
         never_started, self._never_started = self._never_started, []
-        updates += [_never_started(run_id) for run_id in never_started]
+        updates += [_refused_update(run_id) for run_id in never_started]
         message = ItemRunProgress("", self.epoch, self._session, updates, 0)
         sent_at = steady_seconds()
         try:
@@ -326,7 +328,7 @@
     return secrets.token_hex(_SESSION_BYTES)
 
 
-def _never_started(run_id: str) -> ItemRunUpdate:
+def _refused_update(run_id: str) -> ItemRunUpdate:
     refused = RunOutcome.REFUSED.value
     return ItemRunUpdate(
         run_id, 0, [], "", [], False, refused, "ended before its start arrived", ""
