--- a/src/runkeel/operators/client.py
+++ b/src/runkeel/operators/client.py
@@ -54,7 +54,7 @@
         except ValueError:
             scheme, host, port = "", None, None
         if scheme != "http" or not host:
-            raise not_run(ErrorCode.BAD_REQUEST, f"not a node's URL: {node!r}")
+            raise not_run(ErrorCode.BAD_REQUEST, f"node must be http://HOST[:PORT], not {node!r}")
         self._host = host
         self._port = port or 80
         self._token = token
--- a/src/runkeel/operators/fleet_commands.py
+++ b/src/runkeel/operators/fleet_commands.py
@@ -51,7 +51,7 @@
     Args:
         node_id: id of this node.
         request_stop: begins the planned stop of this node.
-        ledger: records of requests that were in flight when servers ended.
+        ledger: records of requests during which servers crashed.
     """
 
     def __init__(self, node_id: str, request_stop: Callable[[], None], ledger: CrashLedger) -> None:
@@ -77,15 +77,16 @@
         raise _forbidden_error(change)
 
     def _release(self, release: ReleaseRequest, command_id: str) -> CommandOutcome:
-        """Release a request; the clearance reaches the other nodes like any other."""
+        """Release a request from quarantine; gossip tells the other nodes."""
         record = self._ledger.get(release.fingerprint)
         if record is None or not record.ended:
             raise not_run(
                 ErrorCode.NOT_FOUND, f"no quarantine record of request {release.fingerprint}"
             )
-        ended = len(record.ended)
+        crashes = len(record.ended)
         changes = (
-            f"a request under which {ended} servers ended may be sent to {record.service} again"
+            f"a request during which {crashes} servers crashed "
+            f"may be sent to {record.service} again"
         )
         logger.info(
             "operator command",
@@ -104,7 +105,9 @@
         if change.name != self._node_id:
             detail = f"this node is {self._node_id}; send the command to {change.name} itself"
             raise not_run(ErrorCode.FORBIDDEN, detail)
-        changes = f"{self._node_id} hands over its duties, completes requests in flight, and exits"
+        changes = (
+            f"{self._node_id} hands over coordination, completes requests in flight, and exits"
+        )
         logger.info(
             "operator command",
             code="operator_command",
--- a/src/runkeel/operators/fleet_routes.py
+++ b/src/runkeel/operators/fleet_routes.py
@@ -27,7 +27,7 @@
 
 
 class FleetOperatorRoutes:
-    """Serves the metrics address.
+    """Serves operators' requests at the metrics address.
 
     Args:
         request_stop: begins the planned stop of this process.
--- a/src/runkeel/operators/grammar.py
+++ b/src/runkeel/operators/grammar.py
@@ -23,7 +23,8 @@
 release: "release" "request" name [dry_run]
 
 assignment: field value
-// LALR(1) merges the terminals that may follow a name, so there keywords win over WORD.
+// After a name the lexer accepts every keyword that follows a name in some command and prefers it
+// to WORD, so fields that are also such keywords are listed.
 !field: WORD | "role" | "reason" | "version"
 suffix: if_generation | dry_run
 if_generation: "if" "generation" WORD
--- a/src/runkeel/operators/language.py
+++ b/src/runkeel/operators/language.py
@@ -50,7 +50,7 @@
     "DIRECTION": ("asc", "desc"),
     "COMMA": (",",),
 }
-"""Keywords of the grammar's terminals that do not stand for exactly one keyword."""
+"""Words to suggest for each terminal of the grammar that is not a single keyword."""
 
 
 @functools.cache
@@ -65,7 +65,7 @@
         RunkeelError: BAD_COMMAND, with the column and the closest valid word.
     """
     if len(text) > MAX_STATEMENT_LENGTH:
-        raise bad_command("", 0, f"longer than {MAX_STATEMENT_LENGTH} characters")
+        raise bad_command("", 0, f"the statement is longer than {MAX_STATEMENT_LENGTH} characters")
     try:
         tree = _parser().parse(text)
     except UnexpectedToken as error:
--- a/src/runkeel/operators/local_queries.py
+++ b/src/runkeel/operators/local_queries.py
@@ -40,7 +40,7 @@
     """
     query = parse_statement(text)
     if not isinstance(query, ShowQuery):
-        raise bad_command(text, 0, "not a query; a platform's objects are changed on the platform")
+        raise bad_command(text, 0, "not a query; queries have the form: show RESOURCE [where ...]")
     source = find_source(sources, text, query)
     started_at = steady_seconds()
     rows = select(query, source.columns, source.provider())
