--- a/tests/quarantine/test_crash_ledger.py
+++ b/tests/quarantine/test_crash_ledger.py
@@ -20,7 +20,7 @@
 
     def crash_servers(self, fingerprint, *servers):
         for server in servers:
-            self.ledger.record_crash(fingerprint, "ledger", server)
+            self.ledger.record_crash(fingerprint, "tariff", server)
 
     def test_request_is_quarantined_at_the_third_crashed_server(self):
         self.crash_servers("f", "a", "b")
@@ -72,12 +72,12 @@
 
     def test_expired_update_is_ignored(self):
         old = CrashRecord(
-            "f", "ledger", 0, frozenset("a"), changed_at=100.0 - SUSPECT_RETENTION_SECONDS
+            "f", "tariff", 0, frozenset("a"), changed_at=100.0 - SUSPECT_RETENTION_SECONDS
         )
         self.assertFalse(self.ledger.merge_record(old, "other"))
 
     def test_ledger_is_bounded_and_evicts_quarantined_requests_last(self):
-        """A client that varies a crashing body can neither grow the ledger nor evict the rest."""
+        """A client that varies a crashing request can neither grow the ledger nor evict "held"."""
         self.crash_servers("held", "a", "b", "c")
         for number in range(50):
             self.now += 1.0
@@ -93,7 +93,7 @@
         for record in reversed(self.ledger.records()):
             other.merge_record(record, "")
         self.assertEqual(other.digest, self.ledger.digest)
-        other.record_crash("g", "ledger", "b")
+        other.record_crash("g", "tariff", "b")
         self.assertNotEqual(other.digest, self.ledger.digest)
 
 
--- a/tests/quarantine/test_crash_record.py
+++ b/tests/quarantine/test_crash_record.py
@@ -16,7 +16,7 @@
 RECORDS = st.builds(
     CrashRecord,
     fingerprint=st.just("f"),
-    service=st.just("ledger"),
+    service=st.just("tariff"),
     clearance=st.integers(0, 2),
     ended=st.frozensets(st.sampled_from([f"s{n}" for n in range(24)]), max_size=12),
     trials=st.integers(0, 3),
@@ -42,8 +42,8 @@
         self.assertAlmostEqual(received.changed_at - 100.0, record.changed_at, delta=0.002)
 
     def test_clearance_replaces_earlier_crashes(self):
-        known = CrashRecord("f", "ledger", 0, frozenset("abc"), 2, 0, 1.0)
-        cleared = CrashRecord("f", "ledger", 1, changed_at=2.0)
+        known = CrashRecord("f", "tariff", 0, frozenset("abc"), 2, 0, 1.0)
+        cleared = CrashRecord("f", "tariff", 1, changed_at=2.0)
         self.assertFalse(merge(known, cleared).quarantined)
         self.assertFalse(merge(cleared, known).quarantined)
 
--- a/tests/quarantine/test_crash_record_writer.py
+++ b/tests/quarantine/test_crash_record_writer.py
@@ -22,7 +22,7 @@
 
     def crash_servers(self, fingerprint, *servers):
         for server in servers:
-            self.ledger.record_crash(fingerprint, "ledger", server)
+            self.ledger.record_crash(fingerprint, "tariff", server)
 
     def stored_crash_counts(self):
         ledger = CrashLedger()
@@ -59,8 +59,8 @@
         self.addCleanup(successor.stop)
         successor.start()
         self.wait_until(lambda: ledger.get("f") is not None)
-        ledger.record_crash("g", "ledger", "a")
-        ledger.record_crash("g", "ledger", "b")
+        ledger.record_crash("g", "tariff", "a")
+        ledger.record_crash("g", "tariff", "b")
         self.wait_until(lambda: self.stored_crash_counts() == {"f": 3, "g": 2})
 
     def test_two_concurrent_coordinators_lose_no_records(self):
@@ -71,7 +71,7 @@
         second.start()
         self.crash_servers("f", "a", "b", "c")
         for server in "xyz":
-            other.record_crash("g", "ledger", server)
+            other.record_crash("g", "tariff", server)
         self.wait_until(lambda: self.stored_crash_counts() == {"f": 3, "g": 3})
 
     def test_failed_or_unacknowledged_write_is_retried(self):
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -11,10 +11,10 @@
 
 class FingerprintTest(unittest.TestCase):
     def setUp(self):
-        self.fingerprints = Fingerprinter(b"secret")
+        self.fingerprinter = Fingerprinter(b"secret")
 
     def of(self, **changes):
-        return self.fingerprints.of_plain(replace(PLAIN, **changes))
+        return self.fingerprinter.of_plain(replace(PLAIN, **changes))
 
     def test_id_headers_and_stream_position_do_not_affect_fingerprint(self):
         same = self.of(request_id="other", headers=(), resume_after="7", urgency=3)
@@ -29,8 +29,8 @@
             {"host": "g"},
             {"body": b"other"},
         )
-        prints = {self.of(), *(self.of(**one) for one in changes)}
-        self.assertEqual(len(prints), 1 + len(changes))
+        fingerprints = {self.of(), *(self.of(**one) for one in changes)}
+        self.assertEqual(len(fingerprints), 1 + len(changes))
 
     def test_field_boundaries_affect_fingerprint(self):
         one = self.of(host="ab", target="c")
@@ -39,7 +39,7 @@
 
     def test_item_has_the_fingerprint_of_its_plain_request(self):
         run = GenerationRequest("i", "/p?q=1", "h", (), b"body", tenant="parish")
-        self.assertEqual(self.fingerprints.of_generation(run), self.of())
+        self.assertEqual(self.fingerprinter.of_generation(run), self.of())
 
     def test_fingerprint_depends_on_the_secret(self):
         self.assertNotEqual(Fingerprinter(b"guess").of_plain(PLAIN), self.of())
--- a/tests/quarantine/test_gossip.py
+++ b/tests/quarantine/test_gossip.py
@@ -34,7 +34,7 @@
 
     def crash_servers(self, name, *servers, fingerprint="f"):
         for server in servers:
-            self.ledgers[name].record_crash(fingerprint, "ledger", server)
+            self.ledgers[name].record_crash(fingerprint, "tariff", server)
 
     def ended(self, name):
         record = self.ledgers[name].get("f")
@@ -108,7 +108,7 @@
         self.assertLessEqual(max(sizes), gossip.MAX_BATCH_RECORDS)
 
     def test_loss_of_a_zone_sends_bounded_records_and_rate(self):
-        """4,200 requests crash on 700 servers: evicted records are not sent, messages are paced."""
+        """700 servers crash with 4,200 requests: evicted records are not sent, messages paced."""
         messages = []
         receive = self.gossips["b"]._receive
 
--- a/tests/quarantine/test_trials.py
+++ b/tests/quarantine/test_trials.py
@@ -18,7 +18,7 @@
         self.ledger = CrashLedger(lambda: self.now)
         self.arbiter = TrialArbiter(self.ledger, lambda: self.now)
 
-    def quarantine_request(self, fingerprint, service="ledger"):
+    def quarantine_request(self, fingerprint, service="tariff"):
         for number in range(3):
             self.ledger.record_crash(fingerprint, service, f"{fingerprint}{number}")
         return self.ledger.get(fingerprint)
@@ -36,7 +36,7 @@
                 self.assertAlmostEqual(denied.retry_after_seconds, 0.1)
                 self.now += 0.1
             self.assertTrue(self.ask("f").granted)
-            self.ledger.record_crash("f", "ledger", f"trial{number}")
+            self.ledger.record_crash("f", "tariff", f"trial{number}")
         self.now += 10_000.0
         self.assertFalse(self.ask("f").granted)
 
@@ -71,7 +71,7 @@
         self.assertEqual(self.ledger.get("f").trials, 0)
 
     def test_record_of_requesting_node_is_merged_before_the_decision(self):
-        record = CrashRecord("f", "ledger", 0, frozenset("abcd"), 3, 0, self.now)
+        record = CrashRecord("f", "tariff", 0, frozenset("abcd"), 3, 0, self.now)
         self.assertFalse(self.arbiter.ask(record, "node").granted)
 
 
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -79,9 +79,9 @@
                     patch = mock.patch.object(module, name, getattr(lease, name, 1.0) * SCALE)
                     patch.start()
                     self.addCleanup(patch.stop)
-        few = mock.patch.object(pool, "MAX_LOCAL_RUNS", 0)
-        few.start()
-        self.addCleanup(few.stop)
+        limit = mock.patch.object(pool, "MAX_LOCAL_RUNS", 0)
+        limit.start()
+        self.addCleanup(limit.stop)
         self.network = MemoryNetwork()
         self.directory = BackendDirectory()
         self.directory.put(
@@ -101,13 +101,13 @@
             lambda address, epoch: None,
             lambda epoch, item, partial: self.kept_outputs.append((epoch, item, partial.pieces)),
         )
-        self.runner.create_run = self._host
+        self.runner.create_run = self._host_run
         self.addCleanup(self.runner.stop)
         self.pool = self._pool(1)
 
     def _pool(self, epoch):
         peers = self.network.node("c")
-        made = RunnerPool(
+        created = RunnerPool(
             peers,
             "fleet",
             epoch,
@@ -119,25 +119,25 @@
         peers.on_call(
             MessageType.ITEM_RUN_PROGRESS,
             ItemRunProgress,
-            lambda peer, message: (0, made.apply_progress(peer, message)),
+            lambda peer, message: (0, created.apply_progress(peer, message)),
         )
-        made.set_open_items(1)
-        made.start()
-        self.addCleanup(made.stop)
-        return made
+        created.set_open_items(1)
+        created.start()
+        self.addCleanup(created.stop)
+        return created
 
-    def _host(self, message, loading, on_ended):
+    def _host_run(self, message, loading, on_ended):
         self.hosted.append(FakeRun(message, on_ended))
         return self.hosted[-1]
 
     def _wait(self, condition, seconds=WAIT_TIMEOUT_SECONDS):
         deadline = steady_seconds() + seconds
         while not (value := condition()):
-            self.assertLess(steady_seconds(), deadline, "waited too long")
+            self.assertLess(steady_seconds(), deadline, "condition not met in time")
             gevent.sleep(0.005)
         return value
 
-    def _joined(self):
+    def _joined_runner(self):
         engine = self.directory.get("e")
         return self._wait(lambda: self.pool.runner_for(engine))
 
@@ -155,7 +155,7 @@
             minimum_version=1,
             single_version=False,
         )
-        return self.pool.create_run(self._joined(), start, PartialOutput(), lambda: False)
+        return self.pool.create_run(self._joined_runner(), start, PartialOutput(), lambda: False)
 
     def _begin(self):
         """Start a run; returns it and the greenlet that waits for its end."""
@@ -185,7 +185,7 @@
         self.network.cut("c", "r")
         gevent.sleep(2 * lease.RUNNER_LOST_SECONDS * SCALE)
         self.network.heal()
-        self._joined()
+        self._joined_runner()
         self.assertIs(run.run(steady_seconds() + 1.0), RunOutcome.REFUSED)
         self.assertEqual(self.hosted, [])
 
@@ -244,15 +244,15 @@
 
     def test_no_runner_is_used_while_the_coordinator_runs_all_items_itself(self):
         self.pool.stop()
-        few = self._pool(1)
-        few._last_demand_at = -lease.DEMAND_RETENTION_SECONDS
-        few._runners.clear()
-        self.assertFalse(few.needs_runners)
-        few.set_open_items(1)
-        self.assertTrue(few.needs_runners)
+        idle = self._pool(1)
+        idle._last_demand_at = -lease.DEMAND_RETENTION_SECONDS
+        idle._runners.clear()
+        self.assertFalse(idle.needs_runners)
+        idle.set_open_items(1)
+        self.assertTrue(idle.needs_runners)
         with mock.patch.object(pool, "MAX_LOCAL_RUNS", 1):
-            self.assertIsNone(few.runner_for(self.directory.get("e")))
-            self.assertTrue(few.has_capacity)
+            self.assertIsNone(idle.runner_for(self.directory.get("e")))
+            self.assertTrue(idle.has_capacity)
 
     def test_idle_runners_are_released_when_they_are_no_longer_needed(self):
         _, task = self._begin()
@@ -263,47 +263,47 @@
         self._wait(lambda: not self.pool._runners)
         self._wait(lambda: self.runner._assignment.ended)
         self.pool.set_open_items(1)
-        self._joined()
+        self._joined_runner()
 
     def test_lease_expires_before_the_runner_counts_as_lost(self):
         self.assertGreater(lease.RUNNER_LOST_SECONDS, lease.RUN_LEASE_SECONDS + 0.4)
-        tries = lease.PROGRESS_INTERVAL_SECONDS + lease.PROGRESS_TIMEOUT_SECONDS
-        self.assertLess(2 * tries, lease.RUN_LEASE_SECONDS)
+        attempt_seconds = lease.PROGRESS_INTERVAL_SECONDS + lease.PROGRESS_TIMEOUT_SECONDS
+        self.assertLess(2 * attempt_seconds, lease.RUN_LEASE_SECONDS)
 
 
 class RemoteRunTest(unittest.TestCase):
     def setUp(self):
-        self.unwanted = []
+        self.run_ids_to_end = []
         self.partial = PartialOutput()
         start = ItemRunStart(run_id="1.1", backend_id="e")
         self.run = remote_run.RemoteRun(
-            start, self.partial, lambda: False, lambda message: None, self.unwanted.append
+            start, self.partial, lambda: False, lambda message: None, self.run_ids_to_end.append
         )
 
-    def _take(self, first, pieces, **more):
+    def _apply_update(self, first, pieces, **more):
         fields = {"whole": False, "outcome": "", "detail": "", "score": ""} | more
         update = ItemRunUpdate("1.1", first, pieces, str(first + len(pieces)), [1], **fields)
         self.run.apply_update(update)
 
     def test_progress_that_is_received_twice_counts_once(self):
-        self._take(0, ["a", "b"])
-        self._take(0, ["a", "b", "c"])
-        self._take(3, ["d"], whole=True, outcome="complete", score="s")
+        self._apply_update(0, ["a", "b"])
+        self._apply_update(0, ["a", "b", "c"])
+        self._apply_update(3, ["d"], whole=True, outcome="complete", score="s")
         self.assertEqual(self.partial.pieces, ["a", "b", "c", "d"])
         self.assertEqual((self.partial.last_event_id, self.partial.complete), ("4", True))
         self.assertEqual((self.run._outcome, self.run.score), (RunOutcome.COMPLETE, "s"))
 
     def test_output_never_skips_a_piece(self):
-        self._take(0, ["a"])
-        self._take(2, ["c"], whole=True)
+        self._apply_update(0, ["a"])
+        self._apply_update(2, ["c"], whole=True)
         self.assertEqual((self.partial.pieces, self.partial.complete), (["a"], False))
-        self.assertEqual(self.unwanted, ["1.1"])
-        self._take(2, ["c"], whole=True, outcome="complete")
+        self.assertEqual(self.run_ids_to_end, ["1.1"])
+        self._apply_update(2, ["c"], whole=True, outcome="complete")
         self.assertIs(self.run._outcome, RunOutcome.BROKEN)
         self.assertFalse(self.partial.complete)
 
     def test_output_that_could_not_be_scored_is_reported_as_such(self):
-        self._take(0, ["a"], whole=True, outcome="scoring_failed", detail="4 failures")
+        self._apply_update(0, ["a"], whole=True, outcome="scoring_failed", detail="4 failures")
         self.assertIs(self.run._outcome, RunOutcome.COMPLETE)
         self.assertEqual(self.run.scoring_error, "4 failures")
 
--- a/tests/runners/test_remote_runs.py
+++ b/tests/runners/test_remote_runs.py
@@ -17,9 +17,9 @@
 class RemoteRunsTest(unittest.TestCase):
     def setUp(self):
         for module in (pool, coordinator_term):
-            few = mock.patch.object(module, "MAX_LOCAL_RUNS", 0)
-            few.start()
-            self.addCleanup(few.stop)
+            limit = mock.patch.object(module, "MAX_LOCAL_RUNS", 0)
+            limit.start()
+            self.addCleanup(limit.stop)
 
     def start(self, **sizes):
         deployment = Deployment(**sizes)
@@ -34,7 +34,7 @@
     def wait(self, condition, seconds=WAIT_TIMEOUT_SECONDS):
         deadline = steady_seconds() + seconds
         while not (value := condition()):
-            self.assertLess(steady_seconds(), deadline, "waited too long")
+            self.assertLess(steady_seconds(), deadline, "condition not met in time")
             gevent.sleep(0.02)
         return value
 
--- a/tests/usage/test_usage_aggregator.py
+++ b/tests/usage/test_usage_aggregator.py
@@ -21,17 +21,17 @@
 
 
 class Platform:
-    """Records reports; fails the next ``lost`` of them after recording."""
+    """Records reports; loses the responses to the next ``responses_to_lose`` of them."""
 
     def __init__(self):
         self.reports = []
-        self.lost = 0
+        self.responses_to_lose = 0
 
     def report_usage(self, report, holder, timeout_seconds, before_send):
         before_send()
         self.reports.append((report.window, dict(report.counts), holder.name, holder.fencing_token))
-        if self.lost:
-            self.lost -= 1
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
             raise may_have_run(ErrorCode.BACKEND_LOST, "no answer")
 
 
@@ -139,13 +139,13 @@
         self.assertEqual(self.reported(FIRST), [{"a": 3}])
 
     def test_new_coordinator_reports_the_decided_counts(self):
-        self.platform.lost = 1_000
+        self.platform.responses_to_lose = 1_000
         aggregator = self.aggregator(1)
         self.send_counts(aggregator, "x", {FIRST: {"a": 2}})
         self.now = (FIRST + 1) * 5.0 + 5.1
         self.wait_until(lambda: self.reported(FIRST))
         aggregator.stop()
-        self.platform.lost = 0
+        self.platform.responses_to_lose = 0
         aggregator = self.aggregator(2, "other")
         self.send_counts(aggregator, "x", {FIRST: {"a": 5}})
         self.wait_until(lambda: self.platform.reports[-1][2] == "other")
--- a/tests/usage/usage_machine.py
+++ b/tests/usage/usage_machine.py
@@ -49,14 +49,14 @@
 class _Platform:
     def __init__(self):
         self.reported = {}
-        self.lost = False
+        self.response_lost = False
 
     def report_usage(self, report, holder, timeout_seconds, before_send):
         before_send()
         counts = dict(report.counts)
         recorded = self.reported.setdefault(report.window, counts)
         assert recorded == counts, f"window {report.window}: {counts} after {recorded}"
-        if self.lost:
+        if self.response_lost:
             raise may_have_run(ErrorCode.BACKEND_LOST, "no answer")
 
 
@@ -140,7 +140,7 @@
     @rule(term=terms, lost=strategies.booleans())
     def report(self, term, lost):
         aggregator = self._aggregator(term)
-        self.platform.lost = lost
+        self.platform.response_lost = lost
         if aggregator._reportable:
             aggregator._report(min(aggregator._reportable))
 
