--- a/src/runkeel/jobs/engine_placement.py
+++ b/src/runkeel/jobs/engine_placement.py
@@ -38,19 +38,23 @@
 MAX_CANDIDATES = 32
 """Size of the random sample of engines with a free slot from which one is chosen.
 
-All are considered if there are no more. The sample bounds the time of a choice, at 1 to 2 us per
+All are considered if there are fewer. The sample bounds the time of a choice, at 1 to 2 us per
 engine, whatever the size of the fleet.
 """
 
 MAX_DRAWS = 3
-"""Samples drawn at most until one contains a usable engine; few may have a new version yet."""
+"""Upper bound of samples drawn for a choice; none may contain a usable engine.
+
+For example, few engines may have loaded a new version yet.
+"""
 
 
 class EnginePlacement:
     """Tracks the free slots, weight versions and speed of engines.
 
     Args:
-        is_loading: returns whether an engine accepts no items of a model while loading a version.
+        is_loading: returns whether an engine is loading a version of a model, and therefore
+            accepts no items of that model.
 
     Attributes:
         versions: latest known weight version by engine incarnation and model.
@@ -59,7 +63,7 @@
     def __init__(self, directory: BackendDirectory, is_loading: Callable[[str, str], bool]) -> None:
         self._directory = directory
         self._is_loading = is_loading
-        self._loads: dict[str, int] = {}
+        self._used_slots: dict[str, int] = {}
         self._groups: dict[tuple[str, str], str] = {}
         self._free_engines: dict[str, IndexedSet[BackendState]] = {}
         """Engines with a free slot, by service."""
@@ -70,18 +74,18 @@
 
     def slots_in_use(self, incarnation: str) -> int:
         """Return the number of slots of an engine that are taken."""
-        return self._loads.get(incarnation, 0)
+        return self._used_slots.get(incarnation, 0)
 
     def acquire_slot(self, engine: BackendState) -> None:
-        self._loads[engine.incarnation] = self.slots_in_use(engine.incarnation) + 1
+        self._used_slots[engine.incarnation] = self.slots_in_use(engine.incarnation) + 1
         self._update_free_engines(engine)
 
-    def release(self, engine: BackendState) -> None:
+    def release_slot(self, engine: BackendState) -> None:
         left = self.slots_in_use(engine.incarnation) - 1
         if left > 0:
-            self._loads[engine.incarnation] = left
+            self._used_slots[engine.incarnation] = left
         else:
-            self._loads.pop(engine.incarnation, None)
+            self._used_slots.pop(engine.incarnation, None)
         self._update_free_engines(engine)
 
     def forget_versions(self, engine: BackendState) -> None:
@@ -111,10 +115,10 @@
         """
         length = min(MAX_RELATIVE_LENGTH, relative_length)
         free = self._engines_with_free_slot(service)
-        home = free.get(self._groups.get((job.job_id, item.group), ""))
+        group_engine = free.get(self._groups.get((job.job_id, item.group), ""))
         for _ in range(MAX_DRAWS):
             candidates = free.sample(MAX_CANDIDATES)
-            best = self._cheapest(job, candidates, home, length, exclude)
+            best = self._cheapest(job, candidates, group_engine, length, exclude)
             if best is not None or len(free) <= MAX_CANDIDATES:
                 return best
         return None
@@ -127,21 +131,21 @@
         self,
         job: BatchJob,
         candidates: list[BackendState],
-        home: BackendState | None,
+        group_engine: BackendState | None,
         length: float,
         exclude: BackendState | None,
     ) -> BackendState | None:
-        """Return the usable engine of lowest cost; ``home`` has run the item's group."""
+        """Return the usable engine of lowest cost; ``group_engine`` has run the item's group."""
         now = steady_seconds()
         best: BackendState | None = None
         best_cost = 0.0
-        if home is not None:
-            candidates.append(home)
+        if group_engine is not None:
+            candidates.append(group_engine)
         for state in candidates:
             if state is exclude or state.avoided(now) or not self.usable(job, state):
                 continue
             cost = self.slots_in_use(state.incarnation) / max(1, state.backend.slots)
-            cost -= GROUP_BONUS if state is home else 0.0
+            cost -= GROUP_BONUS if state is group_engine else 0.0
             cost += SLOWDOWN_COST * length * (self._speeds.slowdown(state.incarnation) - 1.0)
             if job.model and self._version(state, job.model) <= job.minimum_version:
                 cost += OLD_VERSION_COST * length
--- a/src/runkeel/jobs/engine_speeds.py
+++ b/src/runkeel/jobs/engine_speeds.py
@@ -31,7 +31,7 @@
 
     @property
     def seconds_per_event(self) -> float:
-        # Without any event, assume half an event: the true value is higher than for one event.
+        # Without any event so far, count half of one: the engine takes longer per event than this.
         return self.run_seconds / max(_MIN_EVENTS, self.events)
 
 
@@ -92,7 +92,10 @@
         return min(MAX_SLOWDOWN, estimate.seconds_per_event / self._fastest)
 
     def seconds_per_event(self, incarnation: str) -> float:
-        """Return an engine's estimate, or that of the fastest engine if unknown; 0 without any."""
+        """Return an engine's estimate, bounded by MAX_SLOWDOWN times that of the fastest engine.
+
+        An unknown engine counts as the fastest one; 0 if no engine is known.
+        """
         return self._fastest * self.slowdown(incarnation)
 
     def _update(self, incarnation: str, run_seconds: float, events: int, now: float) -> None:
--- a/src/runkeel/jobs/engine_versions.py
+++ b/src/runkeel/jobs/engine_versions.py
@@ -13,16 +13,16 @@
 from runkeel.gateway.backends import BackendDirectory, BackendState
 
 MAX_CONCURRENT_QUERIES = 32
-"""Upper bound of concurrent queries."""
-
 QUERY_TIMEOUT_SECONDS = 0.5
-"""Timeout of one query."""
 
 
 def query_versions(
     directory: BackendDirectory, protocol: BackendProtocol, services: Iterable[str]
 ) -> dict[tuple[str, str], int]:
-    """Return the weight version by engine incarnation and model, as reported by the engines."""
+    """Return the weight version by engine incarnation and model, as reported by the engines.
+
+    Engines that do not answer in time are left out.
+    """
     engines = [state for service in services for state in directory.of_service(service)]
     versions: dict[tuple[str, str], int] = {}
     for state, reported in Pool(MAX_CONCURRENT_QUERIES).imap_unordered(
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -47,9 +47,9 @@
 """
 
 UNKNOWN_ITEM_GRACE_SECONDS = 3.0
-"""Partial outputs of unknown items are accepted for this long after the start.
+"""Partial outputs of unknown items are accepted until the scheduler is this old.
 
-Their jobs may still be loading.
+Until then, the items' jobs may still be loading.
 """
 
 MISSING_ROUTE_TIMEOUT_SECONDS = 5.0
@@ -237,7 +237,7 @@
             if not task.started:
                 self._running.remove(task)
                 if task.engine is not None:
-                    self._placement.release(task.engine)
+                    self._placement.release_slot(task.engine)
 
     def move_items_before_load(self, incarnation: str) -> None:
         """Move long items away from an engine that is about to pause for loading a version."""
@@ -281,7 +281,7 @@
         if self._is_done(task):
             self._withdraw(task)
         elif route is not None and time.time() > expires_at(task.state.job, route):
-            self._fail(task, "waited too long")
+            self._fail(task, "maximum queue time exceeded")
         elif route is not None and task.partial.complete:
             self._release_reserved_slot(task)
             self._start(task, route, None)
@@ -312,7 +312,7 @@
                 self._fail_without_route(lane, now)
                 return starts
             if time.time() > expires_at(task.state.job, route):
-                self._fail(task, "waited too long")
+                self._fail(task, "maximum queue time exceeded")
                 continue
             if self._runner.may_still_run(task.item.item_id):
                 # Another node has yet to confirm the end of an earlier run, maybe of an ended job.
@@ -367,7 +367,7 @@
         """Release the slot reserved for an item, if any; returns its engine."""
         reserved, task.reserved_engine = task.reserved_engine, None
         if reserved is not None:
-            self._placement.release(reserved)
+            self._placement.release_slot(reserved)
         return reserved
 
     def _fail_without_route(self, lane: Lane, now: float) -> None:
@@ -380,7 +380,7 @@
         for task in self._queue.of_lane(lane):
             task.route_missing_since = task.route_missing_since or now
             if now - task.route_missing_since >= MISSING_ROUTE_TIMEOUT_SECONDS:
-                self._fail(task, "no route")
+                self._fail(task, "route missing from the configuration")
 
     def _fail(self, task: ItemTask, reason: str) -> None:
         self._withdraw(task)
@@ -432,7 +432,7 @@
         try:
             outcome = self._runner.generate(task, route)
         finally:
-            self._placement.release(engine)
+            self._placement.release_slot(engine)
         if outcome is RunOutcome.COMPLETE:
             self._lengths.observe(task.item.guessed_tokens, len(task.partial.pieces))
         return outcome
--- a/tests/jobs/test_engine_placement.py
+++ b/tests/jobs/test_engine_placement.py
@@ -43,7 +43,7 @@
         self.placement.acquire_slot(engine)
         self.placement.acquire_slot(engine)
         self.assertIsNone(self._choose())
-        self.placement.release(engine)
+        self.placement.release_slot(engine)
         self.assertEqual(self._choose(), "a")
 
     def test_engines_with_old_weights_loading_or_draining_are_not_chosen(self):
@@ -80,7 +80,7 @@
         for engine in engines:
             self.placement.acquire_slot(engine)
         self.assertIsNone(self._choose())
-        self.placement.release(engines[7])
+        self.placement.release_slot(engines[7])
         self.assertEqual(self._choose(), "e7")
 
     def test_items_of_a_group_share_an_engine_among_many(self):
@@ -96,7 +96,7 @@
         self.assertEqual(self._choose(), "b")
         self._engine("b", slots=1, draining=True)
         self.assertIsNone(self._choose())
-        self.placement.release(first)
+        self.placement.release_slot(first)
         self.directory.remove("a")
         self.assertIsNone(self._choose())
 
