--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -33,7 +33,7 @@
 
     COMPLETE = "complete"
     BROKEN = "broken"
-    """Any other failure during or after sending the request.
+    """A failure during or after sending the request that no other outcome describes.
 
     Examples are a lost connection, a stall, and a failure response that does not count as a failed
     attempt. Events received so far remain valid.
@@ -131,7 +131,7 @@
         self._moved = False
 
     def abort_for_move(self) -> None:
-        """Abort the run; its outcome is MOVED."""
+        """Abort the run with outcome MOVED; one that has no response yet is not interrupted."""
         self._moved = True
         if self._stream is not None:
             self._stream.abort()
--- a/src/runkeel/jobs/item_queue.py
+++ b/src/runkeel/jobs/item_queue.py
@@ -19,7 +19,7 @@
 from runkeel.jobs.item_task import ItemTask
 
 UNROUTED_RANK = 9
-"""Rank of items without a route, the lowest; ranks of routes range from 0 to 9."""
+"""Rank of items without a route, which go last; ranks of routes range from 0, first, to 9."""
 
 LaneKey = tuple[str, str]
 
@@ -41,7 +41,8 @@
         rank: rank of the job's tenant or route; lower ranks are scheduled first.
         submitted_at: Unix time of the job's submission, in seconds.
         service: empty while the items have no route.
-        waiting_since: steady clock time, in seconds, when no engine was first found; 0: never.
+        waiting_since: steady clock time, in seconds, of the first scheduling pass that found no
+            engine for the lane; 0 if none has.
     """
 
     rank: int
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -138,7 +138,10 @@
         return outcome
 
     def score(self, task: ItemTask, route: Route) -> ItemResult | None:
-        """Score a complete output; returns None if no scorer answered before the deadline."""
+        """Return the result of an item whose output is complete, scored if the item names a scorer.
+
+        Returns None if no scorer succeeded before the deadline.
+        """
         score = task.score
         if task.scoring_error:
             return failed_result(task, f"scoring: {task.scoring_error}")
@@ -219,7 +222,10 @@
         return self._runners.create_run(runner, start, task.partial, self._loading(task))
 
     def _take_trial(self, task: ItemTask) -> bool:
-        """Return whether a run is a trial, whose outcome the node that runs it records."""
+        """Use up a trial granted for an item; returns whether there was one.
+
+        The node that runs the item records the outcome of the trial.
+        """
         on_trial = task.watched is not None and task.watched.on_trial
         if on_trial:
             task.watched.record_delivery()
--- a/src/runkeel/jobs/item_task.py
+++ b/src/runkeel/jobs/item_task.py
@@ -19,9 +19,10 @@
     """One open item of a job.
 
     Attributes:
-        failures: number of runs that an engine answered with a failure.
+        failures: number of runs whose outcome was FAILED.
         not_before: steady clock time, in seconds, before which it is not run again.
-        resumed: a partial output was found when it was queued; such items are placed first.
+        resumed: a partial output of an earlier run was received for it, though maybe not used
+            because of its versions; such items are placed first.
         route_missing_since: steady clock time, in seconds; 0 if the route is not missing.
         score: signature of the scorer's answer, if the node that ran the item had it scored.
         scoring_error: why that node could not score it; empty if it could or did not need to.
@@ -40,9 +41,9 @@
     score: str = ""
     scoring_error: str = ""
     better_output: PartialOutput | None = None
-    """A longer partial output received while it ran; it resumes from it once the run has ended."""
+    """A longer partial output received during its run; the next run resumes from it."""
     started: bool = False
-    """Its greenlet has started; one killed before that never runs its cleanup."""
+    """Whether its greenlet has started; a greenlet killed before that never runs its cleanup."""
     watched: WatchedRequest | None = None
     """Tracks engine crashes under this item; None until the quarantine is first consulted."""
     reserved_engine: BackendState | None = None
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -254,7 +254,7 @@
         self.assertEqual(self.scheduler._queue.of_item(f"{JOB_ID}-0").partial.pieces, [])
 
     def test_scheduling_pass_does_not_scale_with_the_number_of_queued_items(self):
-        """Guards against a scheduling pass that searches an engine for every waiting item."""
+        """Guards against a scheduling pass that looks for an engine for every waiting item."""
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
         self.scheduler.add(JobState(make_job(items=500)))
@@ -297,10 +297,10 @@
     def test_other_jobs_are_scheduled_when_one_job_finds_no_engine(self):
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
-        newer = replace(make_job(), job_id="newer", minimum_version=2)
-        older = replace(make_job(), submitted_at=newer.submitted_at + 1.0)
-        self.scheduler.add(JobState(newer))
-        self.scheduler.add(JobState(older))
+        without_engine = replace(make_job(), job_id="without-engine", minimum_version=2)
+        later = replace(make_job(), submitted_at=without_engine.submitted_at + 1.0)
+        self.scheduler.add(JobState(without_engine))
+        self.scheduler.add(JobState(later))
         self.scheduler._place_all()
         running = {task.state.job.job_id for task in self.scheduler._running}
         self.assertEqual(running, {JOB_ID})
