--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -176,7 +176,7 @@
         state.listing_known = False
         self._jobs[job_id] = self._unconfirmed[job_id] = state
         self._log_loaded(state, ended=False)
-        self._record_acceptance(state.job)
+        self._record_demand(state.job)
         self._scheduler.add(state)
 
     def end(self, job_id: str) -> None:
@@ -243,10 +243,9 @@
     def _load_and_start(self) -> None:
         """Read ends, then jobs, and start placement afterwards, so that the oldest jobs go first.
 
-        Placement starts without the jobs that have not loaded within
-        :data:`INITIAL_LOAD_TIMEOUT_SECONDS` of the listing. Before that, it waits for partial
-        outputs if some are expected, and for as long as other nodes may still run items for the
-        previous coordinator.
+        Placement waits up to :data:`INITIAL_LOAD_TIMEOUT_SECONDS` until the stored jobs are loaded,
+        then for partial outputs if some are expected, and for as long as other nodes may still run
+        items for the previous coordinator.
         """
         self._end_watcher.start()
         self._end_watcher.listed.wait()
@@ -287,12 +286,12 @@
         if part_names(document.content):
             self._spawn(self._read_ended_job, document)
         else:
-            self._record_acceptance(decode_job(document.name, document.content))
+            self._record_demand(decode_job(document.name, document.content))
 
     def _read_ended_job(self, document: Document) -> None:
         job = self._read(document)
         if job is not None:
-            self._record_acceptance(job)
+            self._record_demand(job)
 
     def _read(self, document: Document) -> BatchJob | None:
         """Return the job of a document, with its parts; None if it has been removed."""
@@ -344,7 +343,7 @@
         self._spawn(self._load, document)
 
     def _confirm_stored(self, state: JobState, parts: tuple[str, ...]) -> None:
-        """Read the listing of a running job that turned up in the store, then list the rest."""
+        """Read the listed results of a running job found in the store, then list the others."""
         state.parts = parts
         writer = ResultWriter(self._store, state, self._epoch, self._on_listed)
         logger.info("running job found in store", code="job_confirmed", job=state.job.job_id)
@@ -357,8 +356,8 @@
     def _load(self, document: Document) -> None:
         """Load a job and run its unlisted items.
 
-        The listing is read first, and earlier coordinators fenced off, unless the job arrived
-        later in the term than :data:`TERM_SETTLE_SECONDS`.
+        Its listed results are read first, and coordinators of earlier terms fenced off, unless the
+        job arrived later in the term than :data:`TERM_SETTLE_SECONDS`.
         """
         job = self._read(document)
         if job is None:
@@ -373,7 +372,7 @@
         JOBS.labels("loaded").inc()
         ended = document.name in self._ended_ids
         self._log_loaded(state, ended)
-        self._record_acceptance(state.job)
+        self._record_demand(state.job)
         if ended:
             state.end()
         elif not state.complete:
@@ -397,7 +396,7 @@
             age_ms=int((time.time() - job.submitted_at) * 1000),
         )
 
-    def _record_acceptance(self, job: BatchJob) -> None:
+    def _record_demand(self, job: BatchJob) -> None:
         self._record_item_count(job)
         known = self._latest_accepted.get(job.model)
         if known is not None and known.submitted_at >= job.submitted_at:
--- a/src/runkeel/jobs/job_copies.py
+++ b/src/runkeel/jobs/job_copies.py
@@ -33,7 +33,10 @@
 """Longest wait for a successor's reply."""
 
 ROUNDS_PER_COMPARISON = 4
-"""Every so many rounds, a successor checks which jobs it should have, as it may have restarted."""
+"""Interval, in rounds, of checks that a successor still has the jobs that were sent to it.
+
+A successor loses them when it restarts.
+"""
 
 MAX_COPY_BYTES = 32 * 1024 * 1024
 """Bound on the encoded jobs that a successor keeps; the oldest are evicted first."""
--- a/src/runkeel/jobs/job_state.py
+++ b/src/runkeel/jobs/job_state.py
@@ -120,7 +120,7 @@
         self.ready.set()
 
     def page(self, position: int, max_bytes: int) -> ResultPage:
-        """Return results from a position on, up to a size but at least one if there is one."""
+        """Return results from a position on, as many as fit ``max_bytes`` but at least one."""
         return make_page(self.results, len(self.items), position, max_bytes)
 
     def wait_for_position(self, position: int, wait_seconds: float) -> None:
@@ -148,7 +148,7 @@
 
 
 def make_page(results: list[ItemResult], total: int, position: int, max_bytes: int) -> ResultPage:
-    """Return results from a position on, up to a size but at least one if there is one."""
+    """Return results from a position on, as many as fit ``max_bytes`` but at least one."""
     page: list[ItemResult] = []
     size = 0
     for result in results[position:]:
--- a/src/runkeel/jobs/scorer.py
+++ b/src/runkeel/jobs/scorer.py
@@ -132,11 +132,13 @@
             )
             if error.code is ErrorCode.QUEUE_FULL:
                 self._calls.limit_of(service).note_refused()
-            held = error.code is ErrorCode.REQUEST_QUARANTINED
-            asked = (
-                min(MAX_QUARANTINE_RETRY_SECONDS, error.retry_after_seconds or 0.0) if held else 0.0
+            withheld = error.code is ErrorCode.REQUEST_QUARANTINED
+            requested_delay = (
+                min(MAX_QUARANTINE_RETRY_SECONDS, error.retry_after_seconds or 0.0)
+                if withheld
+                else 0.0
             )
-            return "", 0, max(RETRY_SECONDS, asked)
+            return "", 0, max(RETRY_SECONDS, requested_delay)
         answer_class = self._protocol.classify(call.request_id, answer.status, answer.headers)
         if answer_class is ResponseClass.SUCCESS:
             return self._protocol.stamp(answer.headers), 0, RETRY_SECONDS
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -133,10 +133,10 @@
             except RunkeelError as error:
                 if error.verdict is not Verdict.NOT_RUN:
                     verdict = Verdict.MAY_HAVE_RUN
-                handed_over = self._store_hint(job, submission)
-                if handed_over is HintOutcome.ACCEPTED:
+                hint_outcome = self._send_hints(job, submission)
+                if hint_outcome is HintOutcome.ACCEPTED:
                     return
-                if handed_over is HintOutcome.UNSURE:
+                if hint_outcome is HintOutcome.UNSURE:
                     verdict = Verdict.MAY_HAVE_RUN
                 if verdict is Verdict.NOT_RUN:
                     submission.discard_parts()
@@ -148,13 +148,13 @@
                 gevent.spawn(self._notify_accepted, job.job_id)
                 return
 
-    def _store_hint(self, job: BatchJob, submission: JobSubmission) -> HintOutcome:
+    def _send_hints(self, job: BatchJob, submission: JobSubmission) -> HintOutcome:
         """Have storage nodes keep a job that could not be stored, until it can be."""
         if self._hints is None:
             return HintOutcome.REFUSED
         outcome = self._hints.send_hints(job.job_id, submission.encoded)
         if outcome is HintOutcome.ACCEPTED:
-            _log_accepted(job, by="storage machines")
+            _log_accepted(job, by="storage nodes")
         return outcome
 
     def read(self, job: JobReference, position: int, wait_seconds: float) -> ResultPage | None:
@@ -229,7 +229,7 @@
         return state if state is not None and state.job.tenant == job.tenant else None
 
     def _is_ended_at_coordinator(self, job: JobReference) -> bool | None:
-        """Return whether a job has ended; None if the coordinator does not know the job."""
+        """Return whether a job has ended; None if no coordinator that knows the job replied."""
         if self.local is not None:
             state = self._local_state(job)
             return None if state is None else state.ended
@@ -358,12 +358,14 @@
         """
         if self._hints is None:
             return None
-        trace = self._hints.look_up(job_id)
-        if trace is HintLookupResult.RULED_OUT:
+        lookup_result = self._hints.look_up(job_id)
+        if lookup_result is HintLookupResult.RULED_OUT:
             return self._read_job(job_id)
         detail = "job is accepted but not stored yet"
-        if trace is HintLookupResult.UNSURE:
-            detail = "job not found, but too few of the storage nodes that may keep it answered"
+        if lookup_result is HintLookupResult.UNSURE:
+            detail = (
+                "job not found, but too few storage nodes replied to rule out that one keeps it"
+            )
         raise not_run(ErrorCode.STORE_UNAVAILABLE, detail, RETRY_AFTER_SECONDS)
 
     def _read_job(self, job_id: str) -> _CachedJob | None:
