--- a/src/runkeel/handoff/hint_client.py
+++ b/src/runkeel/handoff/hint_client.py
@@ -28,9 +28,9 @@
 """Timeout of sending a hint; covers a timed-out call to the store and a disk sync."""
 
 LOOKUP_TIMEOUT_SECONDS = 0.4
-"""Timeout of looking up a hint; nodes that reply later count as unheard.
+"""Timeout of looking up a hint; a node that replies later does not count.
 
-Reads of a job that doesn't exist wait for it.
+A read of a job that doesn't exist may take this long.
 """
 
 
@@ -119,24 +119,24 @@
             node for node in known.nodes if node not in replies or not replies[node].remembers
         ]
         if any(reply.kept for reply in replies.values()):
-            trace = HintLookupResult.KEPT
+            result = HintLookupResult.KEPT
         elif known.complete and self._quorum.rules_out(unheard):
-            trace = HintLookupResult.RULED_OUT
+            result = HintLookupResult.RULED_OUT
         else:
-            trace = HintLookupResult.UNSURE
+            result = HintLookupResult.UNSURE
         logger.info(
             "looked up job on storage nodes",
             code="job_looked_up",
             job=job_id,
-            trace=trace.value,
+            trace=result.value,
             keepers=len(known.nodes),
             complete=known.complete,
             unheard=sorted(node.node_id for node in unheard),
         )
-        return trace
+        return result
 
     def _collect_replies(self, replies: Queue, count: int, kept: set[StorageNode]) -> HintOutcome:
-        """Wait until the outcome is certain; adds the nodes that keep a hint to ``kept``."""
+        """Wait for the outcome, up to the timeout; adds the nodes that keep a hint to ``kept``."""
         deadline = steady_seconds() + HINT_TIMEOUT_SECONDS
         may_be_stored = False
         for _ in range(count):
@@ -181,7 +181,7 @@
 
 def _log_unreachable(node: StorageNode, error: RunkeelError) -> None:
     logger.info(
-        "storage node unreachable",
+        "call to storage node failed",
         code="keeper_unreached",
         keeper=node.node_id,
         zone=node.zone,
--- a/src/runkeel/handoff/hint_log.py
+++ b/src/runkeel/handoff/hint_log.py
@@ -23,8 +23,9 @@
 class HintLog:
     """The hints in a folder, which a single process writes to.
 
-    Truncated files were never acknowledged and are deleted on load. Writes and removals run in
-    gevent's thread pool, so that a slow disk does not block the event loop.
+    Files that are truncated or fail their checksum, because a write was interrupted, are deleted on
+    load. Writes and removals run in gevent's thread pool, so that a slow disk does not block the
+    event loop.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -38,7 +39,9 @@
             for path in sorted(self._folder.glob(f"*{_SUFFIX}")):
                 found = _read(path)
                 if found is None:
-                    logger.info("deleted truncated hint", code="hint_damaged", file=path.name)
+                    logger.info(
+                        "deleting truncated or corrupt hint", code="hint_damaged", file=path.name
+                    )
                     path.unlink()
                 else:
                     hints[found[0]] = found[1]
--- a/src/runkeel/handoff/hint_service.py
+++ b/src/runkeel/handoff/hint_service.py
@@ -64,7 +64,7 @@
 
     Args:
         log: hints on the node's disk; None if it has no disk.
-        on_hint: called with the id and document of each job that this node accepts a hint of.
+        on_hint: called with the id and the encoded job of each hint that this node accepts.
         first_start: whether the whole deployment starts for the first time, so that no earlier
             hints can exist.
     """
@@ -100,7 +100,7 @@
         return len(self._hints)
 
     def hinted_jobs(self) -> list[tuple[str, EncodedJob]]:
-        """Return the id and the document of each job that this node keeps a hint of."""
+        """Return the id and the encoded form of each job that this node keeps a hint of."""
         return [
             (job_id, deserialize_job(serialized_job))
             for job_id, serialized_job in self._hints.items()
@@ -124,7 +124,10 @@
                 task.kill(block=False)
 
     def _wait_for_history(self) -> None:
-        """Mark the history as complete, on a new disk once all hints lost before have expired."""
+        """Mark the history as complete.
+
+        On a new disk, waits until any hints that were lost with the previous one have expired.
+        """
         if not self._hint_log.history_complete:
             if not self._history_complete:
                 logger.warning(
