--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -25,7 +25,7 @@
 """Longest gap between two events while the engine is loading a version."""
 
 _UNPROCESSABLE = 422
-_generations = itertools.count(1)
+_revisions = itertools.count(1)
 
 
 class RunOutcome(enum.Enum):
@@ -60,15 +60,15 @@
         pieces: data of the events received.
         versions: weight versions that generated the events, in order of appearance.
         complete: the end of the generation was received.
-        generation: revision counter, unrelated to the model's generation; unique within the
-            process, and changed when the output is cleared.
+        revision: distinguishes the outputs of different runs; unique within the process, and
+            changed when the output is cleared.
     """
 
     pieces: list[str] = field(default_factory=list)
     last_event_id: str | None = None
     versions: list[int] = field(default_factory=list)
     complete: bool = False
-    generation: int = field(default_factory=lambda: next(_generations))
+    revision: int = field(default_factory=lambda: next(_revisions))
 
     def clear(self) -> None:
         """Discard everything, to restart from the beginning."""
@@ -76,7 +76,7 @@
         self.versions.clear()
         self.last_event_id = None
         self.complete = False
-        self.generation = next(_generations)
+        self.revision = next(_revisions)
 
     @property
     def precedence(self) -> tuple[int, int]:
--- a/src/runkeel/jobs/partial_output_handover.py
+++ b/src/runkeel/jobs/partial_output_handover.py
@@ -44,7 +44,7 @@
         """Return whether an item would continue from an output of this precedence."""
 
     def adopt_output(self, item_id: str, output: PartialOutput) -> None:
-        """Let an item that has not started continue from an output."""
+        """Let an item continue from an output if it needs the output."""
 
 
 class PartialOutputHandover:
@@ -141,7 +141,7 @@
             return []
         wanted = []
         for update in updates:
-            if update.first_piece:
+            if update.first_piece:  # an offer; a full output starts at piece 0
                 offered = min(update.versions, default=0), update.first_piece
                 if receiver.needs_output(update.item_id, offered):
                     wanted.append(update.item_id)
@@ -151,8 +151,9 @@
 
 
 def _make_offer(item_id: str, output: PartialOutput) -> TextUpdate:
+    """Return an update without pieces, whose ``first_piece`` is the number of pieces offered."""
     count, versions = len(output.pieces), list(output.versions)
-    return TextUpdate(item_id, output.generation, count, [], "", versions, output.complete)
+    return TextUpdate(item_id, output.revision, count, [], "", versions, output.complete)
 
 
 def _decode_output(update: TextUpdate) -> PartialOutput:
--- a/src/runkeel/jobs/partial_output_journal.py
+++ b/src/runkeel/jobs/partial_output_journal.py
@@ -32,9 +32,10 @@
 """Size in bytes from which a new file is started."""
 
 MIN_GROWTH_FACTOR = 3
-"""A file may always grow to this multiple of its initial size, that of all outputs in full.
+"""A file may grow to this multiple of its first write, even if that exceeds the size limit.
 
-Otherwise large outputs would be written again in full, to a new file, at each message.
+The first write has all outputs in full. If they exceed the limit, each message would otherwise
+start a new file, with all outputs in full again.
 """
 
 MAX_FILES = 2
@@ -158,7 +159,9 @@
         self._failed_at = steady_seconds()
         self.close()
         logger.warning(
-            "journal of partial outputs failed", code="text_journal_failed", error=str(error)
+            "disk error in journal of partial outputs; writing is suspended",
+            code="text_journal_failed",
+            error=str(error),
         )
 
 
--- a/src/runkeel/jobs/partial_output_replication.py
+++ b/src/runkeel/jobs/partial_output_replication.py
@@ -41,16 +41,16 @@
 Larger messages may time out on a slow link.
 """
 
-_NO_GENERATION = 0
-"""Marks an update that removes a copy; the generations of outputs begin at 1."""
+_NO_REVISION = 0
+"""Marks an update that removes a copy; the revisions of outputs begin at 1."""
 
 
 @dataclass(slots=True)
 class SentOutput:
     """How much of a partial output a receiver has."""
 
-    generation: int
-    pieces: int
+    revision: int
+    piece_count: int
     whole: bool
 
 
@@ -175,7 +175,7 @@
 
 
 def _removal(item_id: str) -> TextUpdate:
-    return TextUpdate(item_id, _NO_GENERATION, 0, [], "", [], False)
+    return TextUpdate(item_id, _NO_REVISION, 0, [], "", [], False)
 
 
 def _messages(shard: str, epoch: int, updates: list[TextUpdate]) -> list[TextReplication]:
@@ -194,20 +194,20 @@
 
 def _record_sent(updates: list[TextUpdate], known: dict[str, SentOutput]) -> None:
     for update in updates:
-        if update.generation == _NO_GENERATION:
+        if update.generation == _NO_REVISION:
             continue
-        pieces = update.first_piece + len(update.pieces)
-        known[update.item_id] = SentOutput(update.generation, pieces, update.whole)
+        piece_count = update.first_piece + len(update.pieces)
+        known[update.item_id] = SentOutput(update.generation, piece_count, update.whole)
 
 
 def make_update(item_id: str, output: PartialOutput, sent: SentOutput | None) -> TextUpdate | None:
     """Return the part of an output that a receiver lacks; None if it is up to date."""
-    first = sent.pieces if sent is not None and sent.generation == output.generation else 0
+    first = sent.piece_count if sent is not None and sent.revision == output.revision else 0
     if sent is not None and first == len(output.pieces) and sent.whole == output.complete:
         return None
     return TextUpdate(
         item_id,
-        output.generation,
+        output.revision,
         first,
         list(output.pieces[first:]),
         output.last_event_id or "",
@@ -270,9 +270,7 @@
 
     def take(self) -> dict[str, PartialOutput]:
         """Return the outputs updated within the retention period and remove all copies."""
-        outputs = {
-            item_id: _with_own_generation(output) for item_id, output in self.fresh().items()
-        }
+        outputs = {item_id: _with_own_revision(output) for item_id, output in self.fresh().items()}
         self._copies.clear()
         if outputs:
             logger.info(
@@ -322,12 +320,12 @@
 
     def _apply(self, update: TextUpdate, now: float) -> bool:
         """Apply an update to its copy; returns False if earlier pieces are missing."""
-        if update.generation == _NO_GENERATION:
+        if update.generation == _NO_REVISION:
             self._copies.pop(update.item_id, None)
             return True
         copy = self._copies.get(update.item_id)
         if update.first_piece == 0:
-            copy = _Copy(PartialOutput(generation=update.generation), 0.0)
+            copy = _Copy(PartialOutput(revision=update.generation), 0.0)
             self._copies[update.item_id] = copy
         elif copy is None or not _continues(copy.output, update):
             return False
@@ -348,9 +346,9 @@
 
 def _continues(output: PartialOutput, update: TextUpdate) -> bool:
     """Return whether an update starts exactly where a copy ends."""
-    return output.generation == update.generation and len(output.pieces) == update.first_piece
+    return output.revision == update.generation and len(output.pieces) == update.first_piece
 
 
-def _with_own_generation(output: PartialOutput) -> PartialOutput:
-    """Return a copy of an output with a new generation number of this process."""
+def _with_own_revision(output: PartialOutput) -> PartialOutput:
+    """Return a copy of an output with a new revision number of this process."""
     return PartialOutput(output.pieces, output.last_event_id, output.versions, output.complete)
--- a/tests/jobs/test_partial_output_replication.py
+++ b/tests/jobs/test_partial_output_replication.py
@@ -66,11 +66,11 @@
         copy = self.copies.take()["i"]
         self.assertEqual((copy.pieces, copy.versions), (["p", "q", "r"], [2]))
 
-    def test_output_taken_over_has_a_new_generation(self):
+    def test_output_taken_over_has_a_new_revision(self):
         self.outputs["i"] = make_output("a", "b")
         self.sender.send_once()
         taken = self.copies.take()["i"]
-        self.assertNotEqual(taken.generation, self.outputs["i"].generation)
+        self.assertNotEqual(taken.revision, self.outputs["i"].revision)
 
     def test_copies_of_listed_items_are_removed_and_others_stay(self):
         """Guards against handing over outputs of items that are already listed."""
--- a/tests/jobs/test_text_fuzz.py
+++ b/tests/jobs/test_text_fuzz.py
@@ -31,12 +31,12 @@
 
 def continues_with_gap(output, update):
     """Mutant of _continues that does not detect pieces lost with a message."""
-    return output.generation == update.generation
+    return output.revision == update.generation
 
 
 def update_of_any_run(item_id, output, sent):
     """Mutant of make_update that sends a restarted output as a continuation of the previous one."""
-    known = replace(sent, generation=output.generation) if sent is not None else None
+    known = replace(sent, revision=output.revision) if sent is not None else None
     return make_update(item_id, output, known)
 
 
