--- a/src/runkeel/jobs/engine_placement.py
+++ b/src/runkeel/jobs/engine_placement.py
@@ -43,7 +43,7 @@
 """
 
 MAX_DRAWS = 3
-"""Upper bound of samples drawn for a choice; none may contain a usable engine.
+"""Upper bound of the samples drawn for one choice, as a sample may contain no usable engine.
 
 For example, few engines may have loaded a new version yet.
 """
--- a/src/runkeel/jobs/engine_speeds.py
+++ b/src/runkeel/jobs/engine_speeds.py
@@ -31,7 +31,7 @@
 
     @property
     def seconds_per_event(self) -> float:
-        # Without any event so far, count half of one: the engine takes longer per event than this.
+        # Without an event, count half of one: the first event takes longer than run_seconds.
         return self.run_seconds / max(_MIN_EVENTS, self.events)
 
 
--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -107,7 +107,7 @@
     def __init__(
         self,
         protocol: BackendProtocol,
-        state: BackendState,
+        engine: BackendState,
         request: GenerationRequest,
         watched: WatchedRequest,
         partial: PartialOutput,
@@ -117,7 +117,7 @@
     ) -> None:
         self._watched = watched
         self._protocol = protocol
-        self._state = state
+        self._engine = engine
         self._request = request
         self._partial = partial
         self._minimum_version = minimum_version
@@ -139,14 +139,14 @@
     def run(self, deadline: float) -> RunOutcome:
         """Run to completion or until the deadline, a steady clock time in seconds."""
         remaining = deadline - steady_seconds()
-        outgoing = self._protocol.encode_generation(self._request, self._state.backend, remaining)
+        outgoing = self._protocol.encode_generation(self._request, self._engine.backend, remaining)
         self.last_progress_at = steady_seconds()
         try:
             first_deadline = min(deadline, steady_seconds() + RESPONSE_TIMEOUT_SECONDS)
-            stream = self._state.pool.open_stream(outgoing, first_deadline)
+            stream = self._engine.pool.open_stream(outgoing, first_deadline)
         except RunkeelError as error:
             self.detail = error.detail
-            self._watched.record_failure(self._state, error)
+            self._watched.record_failure(self._engine, error)
             self._watched.return_trial()
             return _outcome_without_response(error)
         self._watched.record_delivery()
@@ -173,7 +173,7 @@
             self.detail = error.detail
             if self._moved:
                 return RunOutcome.MOVED
-            self._watched.record_failure(self._state, error)
+            self._watched.record_failure(self._engine, error)
             return RunOutcome.BROKEN
 
     def _drain_failure(
@@ -203,7 +203,7 @@
                 if version < 0:
                     return RunOutcome.OLD_VERSION
         self._partial.complete = True
-        self._state.last_response_at = steady_seconds()
+        self._engine.last_response_at = steady_seconds()
         self._watched.record_success()
         return RunOutcome.COMPLETE
 
--- a/src/runkeel/jobs/job_copies.py
+++ b/src/runkeel/jobs/job_copies.py
@@ -158,7 +158,7 @@
 
 
 class ReceivedJobCopies:
-    """A node's copies of open jobs; receives updates at any time."""
+    """A node's copies of open jobs; receives updates as soon as it is created."""
 
     def __init__(self, network: PeerNetwork) -> None:
         self._epoch = 0
--- a/src/runkeel/jobs/partial_output_replication.py
+++ b/src/runkeel/jobs/partial_output_replication.py
@@ -223,7 +223,7 @@
 
 
 class PartialOutputCopies:
-    """A node's copies of partial outputs; receives updates at any time.
+    """A node's copies of partial outputs; receives updates as soon as it is created.
 
     Args:
         journal: this node's own; None if it has no disk. Copies are restored from it.
