--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -83,13 +83,13 @@
 class HintServiceTest(HintCase):
     def setUp(self):
         super().setUp()
-        self.objects = MemoryDocumentStore()
+        self.shared_store = MemoryDocumentStore()
         self.network = MemoryNetwork()
         self.hinted_jobs = []
         self.services = {}
 
     def start_node(self, name="k1", disk=True, store=None, first_start=False):
-        observed = ObservedStore(store or self.objects)
+        observed = ObservedStore(store or self.shared_store)
         log = HintLog(self.folder / name) if disk else None
         service = HintService(
             self.network.node(name),
@@ -115,7 +115,7 @@
         return reply.state
 
     def stored(self, job_id="j"):
-        return job_id in self.objects.names(DocumentKind.JOB)
+        return job_id in self.shared_store.names(DocumentKind.JOB)
 
     def test_job_is_stored_at_once_when_the_store_is_reachable(self):
         self.start_node()
@@ -126,37 +126,37 @@
 
     def test_job_is_kept_until_the_store_is_back(self):
         self.start_node()
-        self.objects.down = True
+        self.shared_store.down = True
         self.assertEqual(self.send_hint(make_encoded()), JobHintState.KEPT)
         self.assertEqual(self.send_hint(make_encoded()), JobHintState.KEPT)
         self.assertEqual(self.hinted_jobs, ["j", "j"])
-        self.objects.down = False
+        self.shared_store.down = False
         self.wait(self.stored)
         self.wait(lambda: not self.services["k1"].hint_count)
         self.assertEqual(HintLog(self.folder / "k1").load(), {})
 
     def test_hint_survives_the_process(self):
         self.start_node()
-        self.objects.down = True
+        self.shared_store.down = True
         self.send_hint(make_encoded())
         self.services["k1"].stop()
         self.start_node()
-        self.objects.down = False
+        self.shared_store.down = False
         self.wait(self.stored)
 
     def test_several_nodes_hand_off_a_job_once(self):
         for name in STORAGE_NODES:
             self.start_node(name)
-        self.objects.down = True
+        self.shared_store.down = True
         for name in STORAGE_NODES:
             self.assertEqual(self.send_hint(make_encoded(), name=name), JobHintState.KEPT)
-        self.objects.down = False
+        self.shared_store.down = False
         self.wait(lambda: not any(self.services[name].hint_count for name in STORAGE_NODES))
-        self.assertEqual(self.objects.names(DocumentKind.JOB), ["j"])
+        self.assertEqual(self.shared_store.names(DocumentKind.JOB), ["j"])
 
     def test_node_without_a_disk_refuses_hints(self):
         self.start_node(disk=False)
-        self.objects.down = True
+        self.shared_store.down = True
         self.assertEqual(self.send_hint(make_encoded()), JobHintState.REFUSED)
         self.assertEqual(self.hinted_jobs, [])
 
@@ -175,15 +175,15 @@
     def test_expired_hint_is_not_written_to_the_store(self):
         """Its job may have completed and been removed while the storage node was down."""
         self.start_node()
-        self.objects.down = True
+        self.shared_store.down = True
         self.send_hint(make_encoded(age_seconds=hint_service.HINT_EXPIRY_SECONDS + 1))
-        self.objects.down = False
+        self.shared_store.down = False
         self.wait(lambda: not self.services["k1"].hint_count)
         self.assertFalse(self.stored())
 
     def test_hint_beyond_the_size_limit_is_refused(self):
         self.start_node()
-        self.objects.down = True
+        self.shared_store.down = True
         large = make_encoded("large", body="x" * hint_service.MAX_TOTAL_HINT_BYTES)
         self.assertEqual(self.send_hint(large, "large"), JobHintState.REFUSED)
         self.assertEqual(self.send_hint(make_encoded()), JobHintState.KEPT)
@@ -198,7 +198,7 @@
     def test_accepted_once_enough_disks_have_it(self):
         for name in STORAGE_NODES:
             self.start_node(name)
-        self.objects.down = True
+        self.shared_store.down = True
         self.network.silent.add("k2")
         self.assertIs(self.client().send_hints("j", make_encoded()), HintOutcome.ACCEPTED)
         self.network.silent.add("k3")
@@ -216,7 +216,7 @@
     def test_refused_when_no_node_has_it(self):
         for name in STORAGE_NODES:
             self.start_node(name, disk=False)
-        self.objects.down = True
+        self.shared_store.down = True
         self.assertIs(self.client().send_hints("j", make_encoded()), HintOutcome.REFUSED)
         self.assertIs(self.client(4).send_hints("j", make_encoded()), HintOutcome.REFUSED)
         self.assertIs(self.client(0).send_hints("j", make_encoded()), HintOutcome.REFUSED)
@@ -225,7 +225,7 @@
     def test_job_with_a_hint_is_not_ruled_out(self):
         for name in STORAGE_NODES:
             self.start_node(name, first_start=True)
-        self.objects.down = True
+        self.shared_store.down = True
         self.send_hint(make_encoded(), name="k2")
         self.assertIs(self.client().look_up("j"), HintLookupResult.KEPT)
         self.assertIs(self.client().look_up("other"), HintLookupResult.RULED_OUT)
@@ -268,7 +268,7 @@
         self.assertIs(self.client(complete=False).look_up("j"), HintLookupResult.UNSURE)
 
 
-class JobTextTest(unittest.TestCase):
+class SerializedJobTest(unittest.TestCase):
     def test_serialized_job_holds_document_and_parts(self):
         encoded = make_encoded()
         self.assertEqual(deserialize_job(serialize_job(encoded)), encoded)
--- a/tests/handoff/test_keeper_quorum.py
+++ b/tests/handoff/test_keeper_quorum.py
@@ -1,4 +1,4 @@
-"""Accepting and denying quorums always intersect; property tests with cuts and lost disks."""
+"""Accepting and denying quorums intersect; property tests with partitions and lost disks."""
 
 import unittest
 from unittest import mock
--- a/tests/jobs/test_coordinator.py
+++ b/tests/jobs/test_coordinator.py
@@ -197,7 +197,7 @@
         gevent.sleep(0.3)
         self.assertIsNone(coordinator.job(JOB_ID))
 
-    def test_awaited_is_set_once_enough_groups_are_complete(self):
+    def test_event_is_set_once_enough_groups_are_complete(self):
         job = make_job()
         half = len({item.group for item in job.items}) // 2
         state = JobState(replace(job, wanted_groups=half))
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -97,7 +97,7 @@
         self.assertEqual([self.store.names(kind) for kind in kinds], [[], [], []])
 
 
-class GetUnchangingTest(unittest.TestCase):
+class GetImmutableTest(unittest.TestCase):
     def setUp(self):
         self.store = MemoryDocumentStore()
         self.store.put(DocumentKind.JOB, "old", 1)
--- a/tests/jobs/test_partial_output_handover.py
+++ b/tests/jobs/test_partial_output_handover.py
@@ -29,7 +29,7 @@
         self.adopted[item_id] = output
 
 
-class TextHandOverTest(unittest.TestCase):
+class PartialOutputHandoverTest(unittest.TestCase):
     def setUp(self):
         self.network = MemoryNetwork()
         self.receiver = _Receiver("i", "j")
--- a/tests/jobs/test_partial_output_journal.py
+++ b/tests/jobs/test_partial_output_journal.py
@@ -17,7 +17,7 @@
 from runkeel_lab.standins.peer_network import MemoryNetwork
 
 
-class TextJournalTest(unittest.TestCase):
+class PartialOutputJournalTest(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -85,9 +85,9 @@
         self.assertEqual(found["i"].last_event_id, "31")
 
     def test_outputs_larger_than_a_file_are_not_rewritten_at_each_message(self):
-        """Guards against a new file at each message when the first record exceeds the file limit.
+        """Guards against a new file, with a copy of all outputs, at each message.
 
-        The repeated full copies took too much memory.
+        Happens if the first record of a file exceeds the size limit; the copies take much memory.
         """
         sender, _ = self._process(max_file_bytes=200)
         self.outputs = {f"t{n}": self._make_output(40) for n in range(40)} | {
--- a/tests/jobs/test_partial_output_replication.py
+++ b/tests/jobs/test_partial_output_replication.py
@@ -18,7 +18,7 @@
     return PartialOutput(list(pieces), str(len(pieces)), list(versions), complete)
 
 
-class TextReplicationTest(unittest.TestCase):
+class PartialOutputReplicationTest(unittest.TestCase):
     def setUp(self):
         self.network = MemoryNetwork()
         self.copies = PartialOutputCopies(self.network.node("b"))
