--- a/src/runkeel/handoff/hint_log.py
+++ b/src/runkeel/handoff/hint_log.py
@@ -23,9 +23,9 @@
 class HintLog:
     """The hints in a folder, which a single process writes to.
 
-    Files that are truncated or fail their checksum, because a write was interrupted, are deleted on
-    load. Writes and removals run in gevent's thread pool, so that a slow disk does not block the
-    event loop.
+    Files that are truncated or fail their checksum are deleted on load; a hint whose write was
+    interrupted was never acknowledged. Writes and removals run in gevent's thread pool, so that a
+    slow disk does not block the event loop.
     """
 
     def __init__(self, folder: Path) -> None:
