--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -25,7 +25,7 @@
 """Longest gap between two events while the engine is loading a version."""
 
 _UNPROCESSABLE = 422
-_generations = itertools.count(1)
+_revisions = itertools.count(1)
 
 
 class RunOutcome(enum.Enum):
@@ -33,7 +33,7 @@
 
     COMPLETE = "complete"
     BROKEN = "broken"
-    """Any other failure during or after sending the request.
+    """A failure during or after sending the request that no other outcome describes.
 
     Examples are a lost connection, a stall, and a failure response that does not count as a failed
     attempt. Events received so far remain valid.
@@ -60,15 +60,15 @@
         pieces: data of the events received.
         versions: weight versions that generated the events, in order of appearance.
         complete: the end of the generation was received.
-        generation: revision counter, unrelated to the model's generation; unique within the
-            process, and changed when the output is cleared.
+        revision: distinguishes the outputs of different runs; unique within the process, and
+            changed when the output is cleared.
     """
 
     pieces: list[str] = field(default_factory=list)
     last_event_id: str | None = None
     versions: list[int] = field(default_factory=list)
     complete: bool = False
-    generation: int = field(default_factory=lambda: next(_generations))
+    revision: int = field(default_factory=lambda: next(_revisions))
 
     def clear(self) -> None:
         """Discard everything, to restart from the beginning."""
@@ -76,7 +76,7 @@
         self.versions.clear()
         self.last_event_id = None
         self.complete = False
-        self.generation = next(_generations)
+        self.revision = next(_revisions)
 
     @property
     def precedence(self) -> tuple[int, int]:
@@ -107,7 +107,7 @@
     def __init__(
         self,
         protocol: BackendProtocol,
-        state: BackendState,
+        engine: BackendState,
         request: GenerationRequest,
         watched: WatchedRequest,
         partial: PartialOutput,
@@ -117,7 +117,7 @@
     ) -> None:
         self._watched = watched
         self._protocol = protocol
-        self._state = state
+        self._engine = engine
         self._request = request
         self._partial = partial
         self._minimum_version = minimum_version
@@ -131,7 +131,7 @@
         self._moved = False
 
     def abort_for_move(self) -> None:
-        """Abort the run; its outcome is MOVED."""
+        """Abort the run with outcome MOVED; one that has no response yet is not interrupted."""
         self._moved = True
         if self._stream is not None:
             self._stream.abort()
@@ -139,14 +139,14 @@
     def run(self, deadline: float) -> RunOutcome:
         """Run to completion or until the deadline, a steady clock time in seconds."""
         remaining = deadline - steady_seconds()
-        outgoing = self._protocol.encode_generation(self._request, self._state.backend, remaining)
+        outgoing = self._protocol.encode_generation(self._request, self._engine.backend, remaining)
         self.last_progress_at = steady_seconds()
         try:
             first_deadline = min(deadline, steady_seconds() + RESPONSE_TIMEOUT_SECONDS)
-            stream = self._state.pool.open_stream(outgoing, first_deadline)
+            stream = self._engine.pool.open_stream(outgoing, first_deadline)
         except RunkeelError as error:
             self.detail = error.detail
-            self._watched.record_failure(self._state, error)
+            self._watched.record_failure(self._engine, error)
             self._watched.return_trial()
             return _outcome_without_response(error)
         self._watched.record_delivery()
@@ -173,7 +173,7 @@
             self.detail = error.detail
             if self._moved:
                 return RunOutcome.MOVED
-            self._watched.record_failure(self._state, error)
+            self._watched.record_failure(self._engine, error)
             return RunOutcome.BROKEN
 
     def _drain_failure(
@@ -203,7 +203,7 @@
                 if version < 0:
                     return RunOutcome.OLD_VERSION
         self._partial.complete = True
-        self._state.last_response_at = steady_seconds()
+        self._engine.last_response_at = steady_seconds()
         self._watched.record_success()
         return RunOutcome.COMPLETE
 
