--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -34,7 +34,7 @@
 from runkeel.usage.duty import UsageDuty
 from runkeel.wire.network import PeerNetwork
 
-TERM_WATCH_SECONDS = 2.0
+MODEL_VERSION_WATCH_SECONDS = 2.0
 """Maximum duration of a watch on model versions.
 
 Bounds how long a watch whose response was lost can delay an update.
@@ -62,14 +62,14 @@
 
     Attributes:
         journal: journal of partial outputs on the local disk; None on a node without data folder.
-        hand_over_coordination: hands over coordination to another node.
+        hand_over_coordination: ends this node's term and keeps it from claiming another one.
         usage: None if the platform wants no usage reports.
     """
 
     node_id: str
     shard: str
     store: DocumentStore
-    translator: DocumentParser
+    document_parser: DocumentParser
     protocol: BackendProtocol
     network: PeerNetwork
     routing: RoutingTable
@@ -101,7 +101,7 @@
         self._node_id = dependencies.node_id
         self._hand_over_coordination = dependencies.hand_over_coordination
         self._store = dependencies.store
-        self._translator = dependencies.translator
+        self._document_parser = dependencies.document_parser
         self.target_versions: dict[str, int] = {}
         self.tentative = False
         self._directory = dependencies.directory
@@ -181,7 +181,7 @@
                 dependencies.store,
                 DocumentKind.MODEL_VERSION,
                 self._on_model_version,
-                watch_seconds=lambda: TERM_WATCH_SECONDS,
+                watch_seconds=lambda: MODEL_VERSION_WATCH_SECONDS,
             ),
             DocumentWatcher(
                 dependencies.store, DocumentKind.RETIREMENT, self._on_retirement_requested
@@ -277,7 +277,7 @@
     def _on_model_version(self, document: Document, removed: bool) -> None:
         if removed:
             return
-        model, version = self._translator.model_version(document)
+        model, version = self._document_parser.model_version(document)
         if version <= self.target_versions.get(model, 0):
             return
         self.target_versions[model] = version
@@ -297,7 +297,7 @@
     def _on_retirement_requested(self, document: Document, removed: bool) -> None:
         """Complete a retirement immediately: no machine has data that must be moved first."""
         if not removed:
-            self._translator.check_retirement(document)
+            self._document_parser.check_retirement(document)
             gevent.spawn(self._retire, document.name)
 
     def _retire(self, name: str) -> None:
@@ -309,7 +309,7 @@
         self._complete_retirement(name)
 
     def _complete_retirement(self, name: str) -> None:
-        status = self._translator.retirement_status(completed=True)
+        status = self._document_parser.retirement_status(completed=True)
         while True:
             try:
                 self._store.set_status(DocumentKind.RETIREMENT, name, status)
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -148,7 +148,7 @@
         self,
         settings: FleetSettings,
         store: DocumentStore,
-        translator: DocumentParser,
+        document_parser: DocumentParser,
         protocol: BackendProtocol,
         duties: DutyPlatform | None = None,
     ) -> None:
@@ -157,7 +157,7 @@
         self._settings = settings
         store = ObservedStore(store, self._probe_seconds)
         self._store = store
-        self._translator = translator
+        self._document_parser = document_parser
         self.routing = RoutingTable()
         self.directory = BackendDirectory()
         usage = settings.usage
@@ -172,7 +172,7 @@
             settings.peer_address,
             lambda node_id: self._election.peer_address(node_id),
         )
-        self._quarantine = QuarantineService(
+        self._quarantine_service = QuarantineService(
             self._network,
             SHARD,
             store,
@@ -183,7 +183,7 @@
             self.directory,
             lambda: self.knows_routes_and_servers,
         )
-        self.quarantine = self._quarantine.quarantine
+        self.quarantine = self._quarantine_service.quarantine
         self.forwarder = Forwarder(
             self.directory, protocol, settings.zone, self.meter, self.quarantine
         )
@@ -210,7 +210,7 @@
             lambda: store.reachable,
             self._follower.coordinator_needed,
             lambda: self.quarantine.ledger.digest,
-            self._quarantine.gossip.compare_digest,
+            self._quarantine_service.gossip.compare_digest,
         )
         self._routing_watcher = DocumentWatcher(
             store,
@@ -289,7 +289,7 @@
             settings.node_id,
             SHARD,
             store,
-            translator,
+            document_parser,
             protocol,
             self._network,
             self.routing,
@@ -357,7 +357,7 @@
     @property
     def configured(self) -> bool:
         """Whether this node knows its routing configuration, the servers and quarantine records."""
-        return self.knows_routes_and_servers and self._quarantine.caught_up.is_set()
+        return self.knows_routes_and_servers and self._quarantine_service.caught_up.is_set()
 
     @property
     def knows_routes_and_servers(self) -> bool:
@@ -379,7 +379,7 @@
         self._election.start(self._network.address, delay)
         self._follower.start(self._followed_watchers, delay)
         self.hints.start()
-        self._quarantine.start(self._settings.first_start)
+        self._quarantine_service.start(self._settings.first_start)
         if self._settings.usage is not None:
             self._usage_reporter.start()
 
@@ -405,7 +405,7 @@
         self._usage_reporter.stop()
         self.hints.stop()
         self.end_term()
-        self._quarantine.stop()
+        self._quarantine_service.stop()
         self._runner.stop()
         self._loop_lag_monitor.stop()
         self._election.stop()
@@ -433,20 +433,20 @@
 
     def _on_routing_changed(self, document: Document, removed: bool) -> None:
         if not removed:
-            self.routing.apply(self._translator.routing_configuration(document))
+            self.routing.apply(self._document_parser.routing_configuration(document))
 
     def _on_backend_changed(self, document: Document, removed: bool) -> None:
         if removed:
             self.directory.remove(document.name)
             self._feed.record_change(document, removed)
             return
-        backend = self._translator.backend(document)
+        backend = self._document_parser.backend(document)
         previous = self._known_backend(document.name)
         if not self.directory.put(backend, document.revision):
             return
         current = self._known_backend(document.name)
         if previous is None or previous.incarnation != current.incarnation:
-            self._quarantine.backend_joined(current)
+            self._quarantine_service.backend_joined(current)
         # Weight versions change often and only the coordinator uses them, so the feed omits them.
         if previous is None or not previous.equals_except_engine_state(current):
             self._feed.record_change(document, removed)
@@ -462,7 +462,7 @@
 
     def _on_backend_incarnation_ended(self, state: BackendState) -> None:
         """Drop the state of a server incarnation that is gone or was replaced."""
-        self._quarantine.backend_left(state)
+        self._quarantine_service.backend_left(state)
         if self._term is not None:
             self._term.forget(state)
 
@@ -513,7 +513,7 @@
         if self._term is None:
             self._create_term(epoch)
         self._term.start()
-        self._quarantine.begin_term()
+        self._quarantine_service.begin_term()
         self._follower.use_store("this node coordinates")
         self._routing_watcher.restart_watch()
         # The feed of the previous coordinator omits weight versions.
@@ -527,7 +527,7 @@
         """Stop coordinating; called by the election and by :meth:`stop`."""
         term, self._term = self._term, None
         self.jobs.local = None
-        self._quarantine.end_term()
+        self._quarantine_service.end_term()
         self._feed.wake()
         if term is not None:
             term.stop()
