--- a/src/runkeel/coordination/succession.py
+++ b/src/runkeel/coordination/succession.py
@@ -1,9 +1,8 @@
 """Decides when a node is due to replace the coordinator.
 
 The delay counts from the first failed ping. The first node in rank waits for the silence timeout
-only, each further rank a fixed delay longer, and nodes that are not preferred longest. A
-coordinator that answers but reports that it does not coordinate is waited for only if it may
-resume.
+only, each further rank a fixed delay longer, and nodes that are not preferred longest. If the
+coordinator answers that it does not coordinate, nodes wait for it only if it may reclaim its term.
 """
 
 from __future__ import annotations
@@ -27,10 +26,10 @@
 """Additional delay of a node that is not preferred, in case the preferred ones are restarting."""
 
 STORE_LOSS_TIMEOUT_SECONDS = 1.0
-"""A coordinator without the store for this long is replaced by a node that reaches the store."""
+"""How long a coordinator may be cut off from the store before a node that reaches it takes over."""
 
 TENTATIVE_DELAY_SECONDS = 0.3
-"""Delay, in addition to that before a claim, before a node starts a tentative term."""
+"""Delay before a node starts a tentative term, in addition to its delay before a claim."""
 
 RECLAIM_TIMEOUT_SECONDS = 0.4
 """How long a restarted coordinator has to reclaim its term.
@@ -53,11 +52,11 @@
         self._rank = LAST_RANK
         self._last_contact = 0.0
         self._failing_since = 0.0
-        self._store_lost_at = 0.0
-        """Steady time at which the coordinator first reported that it lost the store; 0: never."""
-        self._store_lost = False
-        """Whether this node has lost the store itself while the coordinator was silent."""
-        self._store_back_at = 0.0
+        self._coordinator_lost_store_at = 0.0
+        """Steady time since which the coordinator reports that it lost the store; 0: it has not."""
+        self._own_store_lost = False
+        """Whether this node lost the store, too, when it was due to replace the coordinator."""
+        self._own_store_back_at = 0.0
 
     @property
     def silent_seconds(self) -> float:
@@ -83,7 +82,7 @@
     def reset(self) -> None:
         """Reset the state for a new coordinator."""
         self.note_contact()
-        self._store_lost_at = 0.0
+        self._coordinator_lost_store_at = 0.0
 
     def note_contact(self) -> None:
         """Record that the coordinator serves, or that its silence must not be counted."""
@@ -97,10 +96,13 @@
         self._rank = pong.rank
         now = steady_seconds()
         if pong.store_reachable:
-            self._store_lost_at = 0.0
-        elif not self._store_lost_at:
-            self._store_lost_at = now
-        lost = self._store_lost_at and now - self._store_lost_at > STORE_LOSS_TIMEOUT_SECONDS
+            self._coordinator_lost_store_at = 0.0
+        elif not self._coordinator_lost_store_at:
+            self._coordinator_lost_store_at = now
+        lost = (
+            self._coordinator_lost_store_at
+            and now - self._coordinator_lost_store_at > STORE_LOSS_TIMEOUT_SECONDS
+        )
         return pong.coordinator and not (lost and self._reaches_store())
 
     def is_due(self, pong: CoordinatorPong | None, pinged_at: float) -> bool:
@@ -127,14 +129,14 @@
         again from the moment at which this node reaches the store.
         """
         if not self._reaches_store():
-            self._store_lost = True
+            self._own_store_lost = True
             return False
-        if self._store_lost:
-            self._store_lost = False
-            self._store_back_at = now
+        if self._own_store_lost:
+            self._own_store_lost = False
+            self._own_store_back_at = now
         if not self._preferred:
             rank_delay += NOT_PREFERRED_DELAY_SECONDS
-        return now - self._store_back_at >= rank_delay
+        return now - self._own_store_back_at >= rank_delay
 
 
 def takeover_delay_seconds(pong: CoordinatorPong | None) -> float:
