--- a/src/runkeel/coordination/load_pacing.py
+++ b/src/runkeel/coordination/load_pacing.py
@@ -1,8 +1,9 @@
 """Adaptive limit on concurrent weight loads, by additive increase and multiplicative decrease.
 
-All engines load weights from one store of limited throughput. Beyond that, more concurrent loads
-only make each of them slower. The throughput is not known, so the limit is adapted as in congestion
-control: slow loads decrease it by a factor, loads at full speed increase it in small steps.
+All engines load weights from one store of limited throughput. Once it is exhausted, additional
+concurrent loads only slow the others down. The throughput is not known, so the limit is adapted as
+in congestion control: slow loads decrease it by a factor, loads at full speed increase it in small
+steps.
 """
 
 from __future__ import annotations
--- a/src/runkeel/coordination/rollout_plan.py
+++ b/src/runkeel/coordination/rollout_plan.py
@@ -1,9 +1,9 @@
 """Selects the engines that change their weight version next; sends no orders itself.
 
-Jobs accept versions that are a bounded number behind the newest. With each version only a part of a
-model's engines therefore changes: those whose version is no longer accepted, and of the rest the
-oldest, as many as are needed to change every engine before its version expires. In a large fleet
-only as many engines take part as the model's jobs can fill.
+Jobs accept versions that are a bounded number behind the newest, so not all engines have to change
+with each version. Engines whose version is no longer accepted change first. Then the oldest others
+follow, until 1 / (n + 1) of the engines have the newest version, n being the accepted lag. In a
+large fleet only as many engines take part as the model's jobs can fill.
 
 An engine takes one order at a time, and the number of concurrent loads is limited. The models of a
 service share these loads: the next one goes to the model with the smallest share of the engines
@@ -38,7 +38,7 @@
 
     Attributes:
         minimum_version: oldest version that every open job accepts.
-        slack: number of versions behind the newest that the latest job accepts.
+        max_version_lag: number of versions behind the newest that the latest job accepts.
         items: recent maximum of concurrently open items; None if there was no job yet.
         backlogged: whether items have recently waited long for an engine.
     """
@@ -84,7 +84,7 @@
         needed: number of engines that the model's jobs can fill.
         usable: number of these that have, or are changing to, an accepted version.
         urgent: engines whose version is no longer accepted, in the order of their changes.
-        due: further engines to change for this version.
+        due: engines that change after the urgent ones.
     """
 
     model: str
--- a/src/runkeel/coordination/version_rollout.py
+++ b/src/runkeel/coordination/version_rollout.py
@@ -50,6 +50,8 @@
 """An order that shows no effect for this long counts as lost."""
 
 MAX_REPORT_INTERVAL_SECONDS = 1.0
+"""Maximum interval between report queries to a loading engine."""
+
 REPORT_INTERVAL_GROWTH = 1.3
 """Growth factor of the report interval while a load is slow, to bound the number of queries."""
 
@@ -85,7 +87,7 @@
         configuration: returns the configuration in effect.
         versions: newest version by model, as published by trainers; updated by the caller.
         demand: returns what the batch jobs require of a model.
-        on_version: called with incarnation, model and version when an engine has changed.
+        on_version: called with incarnation, model and version when an engine has loaded a version.
         count_running: returns the number of items in flight at an engine; engines with the fewest
             change first.
         before_load: called with the incarnation of an engine before it is ordered to load.
@@ -115,7 +117,7 @@
         self._count_running = count_running
         self._before_load = before_load
         self._changing: dict[str, _Change] = {}
-        self._actual: dict[tuple[str, str], int] = {}
+        self._loaded_versions: dict[tuple[str, str], int] = {}
         self._retry_at: dict[str, float] = {}
         self._pacing: dict[str, LoadPacing] = {}
         self._wake = Event()
@@ -123,7 +125,7 @@
         self._tasks: set[gevent.Greenlet] = set()
 
     def claim_lease(self) -> None:
-        """Claim the order lease early, so that a new holder's wait is over when orders are due.
+        """Claim the order lease early, so that a new holder's pause is over when orders are due.
 
         Returns once the lease is held or another node has taken it.
         """
@@ -151,8 +153,8 @@
 
         A change in progress ends with the engine's next answer or with its timeout.
         """
-        for key in [key for key in self._actual if key[0] == state.incarnation]:
-            del self._actual[key]
+        for key in [key for key in self._loaded_versions if key[0] == state.incarnation]:
+            del self._loaded_versions[key]
         self._retry_at.pop(state.incarnation, None)
 
     def wake(self) -> None:
@@ -169,7 +171,7 @@
             self._wake.wait(MAX_RECONCILE_INTERVAL_SECONDS)
             self._wake.clear()
             started = steady_seconds()
-            due = self._due()
+            due = self._due_changes()
             planning_seconds = steady_seconds() - started
             try:
                 self._start_changes(due)
@@ -203,8 +205,7 @@
             self._tasks.add(task)
             task.rawlink(self._tasks.discard)
 
-    def _due(self) -> list[PlannedChange]:
-        """Return the changes to start now."""
+    def _due_changes(self) -> list[PlannedChange]:
         configuration = self._configuration()
         if configuration is None:
             return []
@@ -214,10 +215,10 @@
                 model: self._targets[model] for model in service.models if model in self._targets
             }
             if targets:
-                due.extend(self._due_of_service(service.name, targets))
+                due.extend(self._due_changes_of_service(service.name, targets))
         return due
 
-    def _due_of_service(self, service: str, targets: dict[str, int]) -> list[PlannedChange]:
+    def _due_changes_of_service(self, service: str, targets: dict[str, int]) -> list[PlannedChange]:
         engines = self._directory.of_service(service)
         loading = sum(1 for state in engines if state.incarnation in self._changing)
         available_loads = self._pacing_of(service).available_loads(len(engines), loading)
@@ -251,10 +252,10 @@
 
     def _version(self, state: BackendState, model: str) -> int:
         reported = state.backend.model_versions.get(model, 0)
-        return max(reported, self._actual.get((state.incarnation, model), 0))
+        return max(reported, self._loaded_versions.get((state.incarnation, model), 0))
 
     def _change(self, state: BackendState, model: str, version: int) -> None:
-        """Order one engine to change, and wait until it has or the change has failed."""
+        """Order an engine to load a version, and wait until it has done so or has failed to."""
         started = steady_seconds()
         reached = False
         try:
@@ -281,7 +282,7 @@
             if state.replaced:
                 reached = False
             elif reached:
-                self._actual[(state.incarnation, model)] = version
+                self._loaded_versions[(state.incarnation, model)] = version
                 self._on_version(state.incarnation, model, version)
             else:
                 self._retry_at[state.incarnation] = steady_seconds() + CHANGE_RETRY_SECONDS
@@ -299,7 +300,7 @@
     def _order(
         self, state: BackendState, model: str, version: int, sequence: int
     ) -> EngineOrderOutcome | None:
-        """Send an order; returns None if its answer was lost, so that it may still take effect."""
+        """Send an order; returns None if its answer was lost and it may still take effect."""
         order = VersionOrder(
             model, version, self._holder, self._lease.token, expected_sequence=sequence
         )
