--- a/src/runkeel/coordination/copy_comparison.py
+++ b/src/runkeel/coordination/copy_comparison.py
@@ -1,7 +1,8 @@
-"""Detects copies that differ from the coordinator's at the same revision.
+"""Detects that this node's copy of the documents differs from the coordinator's.
 
-A page contains the changes since a revision, so it is complete only for a copy that matches that
-revision. A copy may not, as nodes decide on their own which documents have expired in an outage.
+Two copies at the same revision may differ, since each node decides on its own which documents
+expired during a store outage. The coordinator's feed sends only changes after a revision and may
+never resolve such a difference, so a full copy has to be requested.
 """
 
 from __future__ import annotations
@@ -18,7 +19,8 @@
 MAX_DIFFERENCE_SECONDS = 1.0
 """How long copies may differ before a full copy is requested, and the interval of such requests.
 
-A difference that is only a late update is resolved in this time by a small page.
+A difference due to a delayed update is resolved within this time by a page, which is much smaller
+than a full copy.
 """
 
 
--- a/src/runkeel/coordination/document_feed.py
+++ b/src/runkeel/coordination/document_feed.py
@@ -30,21 +30,21 @@
 
 MAX_COPY_AGE_SECONDS = 1.3
 MAX_COPY_AGE_SHARE = 0.65
-"""Maximum time since the store has confirmed the coordinator's copy for nodes to rely on it.
+"""Maximum time since the store last confirmed the coordinator's copy; an older copy is stale.
 
 The limit is the smaller of the two; the share is a fraction of the propagation time.
 """
 
 COORDINATOR_WATCH_SECONDS = 0.7
 COORDINATOR_WATCH_SHARE = 0.35
-"""Maximum duration of one of the coordinator's watches of the store.
+"""Maximum duration of a store watch by the coordinator.
 
 The limit is the smaller of the two; the share is a fraction of the propagation time. The watches
 are short because each one confirms the copy that all nodes rely on.
 """
 
 MAX_HOLD_SECONDS = 2.0
-"""Longest long-poll wait: a follower's request waits at most this long for changes."""
+"""Maximum time for which a reply is held until there are changes; followers may ask for less."""
 
 
 def max_copy_age_seconds(propagation_seconds: float) -> float:
@@ -53,7 +53,7 @@
 
 
 def coordinator_watch_seconds(propagation_seconds: float) -> float:
-    """Return the maximum duration of one of the coordinator's watches, in seconds."""
+    """Return the maximum duration of a store watch by the coordinator, in seconds."""
     return min(COORDINATOR_WATCH_SECONDS, COORDINATOR_WATCH_SHARE * propagation_seconds)
 
 
@@ -129,7 +129,7 @@
         self.wake()
 
     def wake(self) -> None:
-        """Re-evaluate held replies, as when this node stops coordinating."""
+        """Re-evaluate held replies, for example when this node stops coordinating."""
         self._changed.set()
         self._changed = Event()
 
@@ -154,11 +154,11 @@
         return {str(one.kind): FeedCopy(one.revision, one.digest) for one in watchers}
 
     def _reply_without_pages(self, state: int) -> FeedReadReply:
-        after = self._successor() if state == FeedState.NOT_COORDINATOR else None
-        if after is None:
+        known = self._successor() if state == FeedState.NOT_COORDINATOR else None
+        if known is None:
             return FeedReadReply(state, [], None, 0)
-        address = NodeAddress(after.node_id, str(after.address), after.zone)
-        return FeedReadReply(state, [], address, after.epoch)
+        address = NodeAddress(known.node_id, str(known.address), known.zone)
+        return FeedReadReply(state, [], address, known.epoch)
 
     def _pages_after(self, revisions: dict[str, int], even_if_empty: bool) -> list[FeedPage]:
         pages = []
--- a/src/runkeel/coordination/feed_follower.py
+++ b/src/runkeel/coordination/feed_follower.py
@@ -43,13 +43,13 @@
 """Timeout of a reply, in addition to the time for which it may be held."""
 
 FIRST_ANSWER_TIMEOUT_SECONDS = 0.1
-"""The same for the first reply after a start.
+"""Timeout of the first reply after a start, which is not held.
 
-Shorter, as a starting node has no documents until this reply, and reads the store if it fails.
+It is shorter, since a node has no documents until this reply and reads the store if it fails.
 """
 
 RETRY_SECONDS = 0.3
-"""Pause before a retry while the watchers use the store."""
+"""Pause before the feed is read again while the watchers use the store."""
 
 NO_COORDINATOR_POLL_SECONDS = 0.1
 """Polling interval while there is no other coordinator."""
@@ -57,16 +57,17 @@
 GRACE_SHARE = 0.65
 """Share of the propagation time after which a node that has lost the feed reads the store.
 
-The grace period starts at the first failed read and is shorter by the maximum age of the
-coordinator's copy; see :func:`grace_seconds`. Most feeds recover within it, from the same
-coordinator or its successor, which saves the load on the store of many nodes that watch it at once.
+The grace period starts at the first failed read. It is shorter than this share by the maximum age
+of the coordinator's copy, since the copy may already be that old; see :func:`grace_seconds`. Most
+feeds recover within it, from the same coordinator or its successor. Without it, many nodes would
+read the store at once.
 """
 
 START_GRACE_SECONDS = 1.0
 """How long a node waits for a coordinator after its start before it reads the store."""
 
 GRACE_RETRY_SECONDS = 0.15
-"""Pause before a retry during the grace period after a loss of the feed."""
+"""Pause before the feed is read again during the grace period."""
 
 STALE = "stale"
 _STATE_NAMES = {FeedState.STALE: STALE, FeedState.NOT_COORDINATOR: "not_coordinator"}
@@ -119,7 +120,7 @@
         self._grace_seconds = grace_seconds
         self._on_successor = on_successor
         self._lost_at = 0.0
-        """Steady time of the loss whose grace period runs; 0: none does."""
+        """Steady time at which the current grace period began; 0: there is none."""
         self._network = network
         self._shard = shard
         self._coordinator = coordinator
@@ -214,7 +215,7 @@
 
     def _read(self, coordinator: Coordinator) -> str:
         """Read the feed once; returns the problem, or an empty string if there was none."""
-        # The first reply is needed at once, as the store is in use until then.
+        # The first reply must not be held, as the watchers use the store until it arrives.
         held = self._hold_seconds if self._watchers_suspended else 0.0
         has_document_source = self._watchers_suspended or self.store_needed.is_set()
         answer_timeout_seconds = (
--- a/src/runkeel/coordination/order_lease.py
+++ b/src/runkeel/coordination/order_lease.py
@@ -105,7 +105,10 @@
         now = steady_seconds()
         claim = self._claim
         if claim is None or now < claim.orders_from:
-            raise not_run(ErrorCode.STALE_FENCE, "the order lease is not held yet")
+            raise not_run(
+                ErrorCode.STALE_FENCE,
+                "the order lease is not held, or the pause after a change of holder is not over",
+            )
         if now > claim.confirmed_at + VALIDITY_SECONDS:
             raise not_run(
                 ErrorCode.STALE_FENCE, "the last confirmation of the order lease has expired"
@@ -140,7 +143,11 @@
         self._take_over(current, started)
 
     def _resolve_conflict(self, conflict: DocumentConflictError, started: float) -> None:
-        """Handle a conflict: an own write whose answer was lost, or another holder."""
+        """Handle a conflict with this node's own write, whose answer was lost, or another holder.
+
+        Raises:
+            RunkeelError: another node holds the lease, or the store did not answer.
+        """
         self._claim = None
         current = conflict.current
         if current is None:
@@ -174,9 +181,10 @@
         self._accept(stored, new_content, started)
 
     def _pause_after(self, current: Document) -> float:
-        """Return how many seconds from now this node must not send orders.
+        """Return the remaining pause in seconds before this node may send its first order.
 
-        Counted from the previous holder's last confirmation if that was observed, else from now.
+        The pause starts at the previous holder's last confirmation if this node has observed it,
+        otherwise now.
         """
         pause = VALIDITY_SECONDS + self._pause_seconds + MARGIN_SECONDS
         revision, confirmed_at = self._observed
