--- a/src/runkeel/coordination/advertised_nodes.py
+++ b/src/runkeel/coordination/advertised_nodes.py
@@ -7,7 +7,10 @@
 from runkeel.wire.generated.jobs.ttypes import CoordinatorPong, NodeAddress
 
 MAX_SUCCESSORS = 8
-"""Successors kept, earlier ones included: a new coordinator does not know all of them yet."""
+"""Maximum number of successors kept.
+
+Those that earlier coordinators advertised are included, as a new one does not know all nodes yet.
+"""
 
 
 class AdvertisedNodes:
--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -73,7 +73,7 @@
 """Ping interval while pings fail."""
 
 VERIFY_WATCH_SECONDS = 0.7
-"""Duration of one watch of the coordinator's document, by which the store confirms its term."""
+"""Maximum duration of a coordinator's watch of its document, which confirms its term."""
 
 VERIFICATION_VALID_SECONDS = 1.0
 """How long a confirmation by the store stays valid."""
@@ -88,10 +88,13 @@
 """How long after its start a node's list of storage nodes may be incomplete."""
 
 SUCCESSOR_QUERY_INTERVAL_SECONDS = 0.2
-"""Interval between queries to the likeliest successors, as all nodes query the same ones."""
+"""Minimum interval between queries to the likeliest successors.
+
+It bounds the load on them, since all nodes query the same ones.
+"""
 
 MAX_PREDECESSOR_PINGS = 30
-"""Attempts to notify the replaced coordinator of the new epoch."""
+"""Maximum number of attempts to notify the replaced coordinator of the new epoch."""
 
 START_JITTER_SECONDS = 0.3
 """Maximum random delay before a starting node first claims the term or pings the coordinator.
@@ -489,7 +492,11 @@
         return STORE_CHECK_INTERVAL_SECONDS
 
     def _follow(self, known: Coordinator) -> float:
-        """Ping the coordinator and replace it if due; returns the pause in seconds until a ping."""
+        """Ping the coordinator, and replace it if due.
+
+        Returns:
+            The pause in seconds until the next ping.
+        """
         pinged_at = steady_seconds()
         pong = self._pings.ping(known.node_id, known.epoch)
         pause = PING_INTERVAL_SECONDS
@@ -498,7 +505,7 @@
             self._lease.observe(pong.lease_revision, pong.lease_age_ms / 1000.0)
             self._record_advertised(known, pong)
             if pong.coordinator and (pong.epoch or 0) > known.epoch:
-                # It has restarted and coordinates in a later term.
+                # The coordinator has restarted and coordinates in a later term.
                 address = NodeAddress(known.node_id, str(known.address), known.zone)
                 self.note_successor(address, pong.epoch)
         # A ping takes at most its timeout; any longer time is a stall of this process, which must
--- a/src/runkeel/coordination/overlay.py
+++ b/src/runkeel/coordination/overlay.py
@@ -1,8 +1,8 @@
 """Gossip overlay: selects the neighbours to which each node sends updates.
 
 The nodes form a ring sorted by name. Each sends updates to the nodes at distances of 1, 2, 4, 8 and
-so on, so that an update reaches all nodes in a number of steps that is logarithmic in the size of
-the fleet, by several paths if some nodes are down.
+so on. An update thus reaches all nodes in a number of steps that is logarithmic in the size of the
+fleet, and by several paths, in case some nodes are down.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 """In a fleet of up to this size each node sends updates to all others, without forwarding."""
 
 REFRESH_SECONDS = 1.0
-"""Interval after which the ring is rebuilt."""
+"""Maximum age of the ring; an older one is rebuilt when it is used."""
 
 _DIGEST_BYTES = 7
 
--- a/src/runkeel/coordination/peers.py
+++ b/src/runkeel/coordination/peers.py
@@ -8,7 +8,10 @@
 from runkeel.wire.generated.jobs.ttypes import NodeAddress
 
 LAST_RANK = 3
-"""Rank of all nodes from this one on: they are unranked, ping less often and take over late."""
+"""Rank of all nodes that are not among the first three, called unranked.
+
+They ping less often and take over later.
+"""
 
 PEER_EXPIRY_SECONDS = 12.0
 """A node expires when it has not pinged for this long."""
@@ -28,17 +31,21 @@
 MAX_ADVERTISED_SUCCESSORS = 5
 """Number of successors advertised to each node; they also keep jobs on behalf of the store.
 
-With the coordinator these are twice as many as must keep a job for two losses to be tolerated.
+Together with the coordinator these are six nodes: twice the three that must keep a job for it to
+survive two losses.
 """
 
 FIRST_SUCCESSORS = 2
-"""Number of successors listed first by rank, whatever their zones: they are queried first."""
+"""Number of successors advertised by rank alone, without regard to zones; nodes query them first.
+
+The others are chosen so that they are spread over zones.
+"""
 
 MAX_WITNESSES = 6
-"""Number of witnesses advertised to a node: two in each of three zones."""
+"""Maximum number of witnesses advertised to a node: two in each of three zones."""
 
 MAX_WITNESSES_PER_ZONE = 2
-"""Number of witnesses in each zone; a successor queries them before it takes over."""
+"""Maximum number of witnesses in each zone; a successor queries them before it takes over."""
 
 
 @dataclass(slots=True)
@@ -66,7 +73,10 @@
         self._peers.clear()
 
     def record_ping(self, node_id: str, address: NodeAddress, preferred: bool) -> int:
-        """Record a ping; returns the node's rank, which is by first ping among preferred nodes."""
+        """Record a ping; returns the node's rank.
+
+        That is its position in the order of succession, :data:`LAST_RANK` at most.
+        """
         known = self._peers.setdefault(node_id, _Peer(preferred, address))
         known.address = address
         known.seen_at = steady_seconds()
@@ -75,7 +85,7 @@
         return min(self._succession().index(node_id), LAST_RANK)
 
     def count_silent(self, seconds: float) -> int:
-        """Return how many nodes have not expired, but not pinged for longer than ``seconds``."""
+        """Return how many nodes have not pinged for ``seconds``, but have not expired yet."""
         now = steady_seconds()
         return sum(1 for _, one in self._live() if now - one.seen_at > seconds)
 
@@ -122,7 +132,10 @@
         return chosen
 
     def witnesses_for(self, node_id: str) -> list[NodeAddress]:
-        """Return other nodes of each zone, those that are not preferred first."""
+        """Return the other nodes that a node queries before it replaces this coordinator.
+
+        Nodes that are not preferred come first; the number is limited in each zone.
+        """
         others = [known for name, known in self._live() if name != node_id]
         others.sort(key=lambda known: known.preferred)
         count_by_zone: dict[str, int] = {}
--- a/src/runkeel/coordination/pings.py
+++ b/src/runkeel/coordination/pings.py
@@ -1,4 +1,4 @@
-"""Sends pings, by which the coordinator and other nodes report their state."""
+"""Sends pings, whose answers report the state of the coordinator or of another node."""
 
 from __future__ import annotations
 
@@ -12,7 +12,6 @@
 from runkeel.wire.network import PeerNetwork
 
 PING_TIMEOUT_SECONDS = 0.35
-"""Timeout of a ping."""
 
 
 class PingSender:
--- a/src/runkeel/coordination/tentative_place.py
+++ b/src/runkeel/coordination/tentative_place.py
@@ -1,7 +1,8 @@
 """Tentative terms: running open items while neither the coordinator nor the store is reachable.
 
-A node in rank that reaches neither of them runs the open items in a tentative term. It lists
-nothing. When the store is reachable again, the node claims the term, which confirms it.
+A ranked node that reaches neither of them runs the open items in a tentative term, in which it
+writes no results to the store and sends engines no orders to load a version. When the store is
+reachable again, the node claims the term, which confirms it.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
 """Interval between checks for another node in a tentative term."""
 
 MAX_DEFER_SECONDS = 1.0
-"""How long other nodes let a node in a tentative term claim first after a store outage."""
+"""How long other nodes delay their claims after a store outage if a node has a tentative term."""
 
 
 class TentativeTerm:
-    """This node's tentative term, and precedence between tentative terms of several nodes.
+    """This node's tentative term, and the precedence among tentative terms of several nodes.
 
     Args:
         node_id: this node.
@@ -108,7 +109,7 @@
         self.epoch = 0
 
     def loses_tie(self, known: Coordinator) -> bool:
-        """Return whether another node in a tentative term takes precedence, by its name."""
+        """Return whether another node that sorts before this one by id is in a tentative term."""
         now = steady_seconds()
         if now - self._tie_checked_at < TIE_CHECK_INTERVAL_SECONDS:
             return False
--- a/src/runkeel/coordination/witnesses.py
+++ b/src/runkeel/coordination/witnesses.py
@@ -1,4 +1,4 @@
-"""Queries other nodes whether they reach the coordinator, before a node replaces it."""
+"""Asks other nodes whether they reach the coordinator, before this node replaces it."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     """Query nodes concurrently; returns whether any of them reports that the coordinator serves.
 
     Args:
-        epoch: epoch of the coordinator; one of a later epoch counts, too.
-        timeout_seconds: timeout of all queries.
+        epoch: epoch of the coordinator; nodes also report coordinators of later epochs.
+        timeout_seconds: timeout of all queries together.
     """
     message = CoordinatorWitness(shard, epoch)
     queries = [
