--- a/src/runkeel/decision_log.py
+++ b/src/runkeel/decision_log.py
@@ -18,7 +18,7 @@
 from runkeel.clock import steady_seconds
 from runkeel.metrics import LOG_LINES_DROPPED
 
-BYTES_PER_SECOND = 60_000.0
+MAX_BYTES_PER_SECOND = 60_000.0
 BURST_BYTES = 240_000.0
 WARNING_RESERVE_BYTES = 60_000.0
 TYPICAL_LINE_BYTES = 300
@@ -108,7 +108,7 @@
 
 def configure_decision_log(node_id: str, zone: str, descriptor: int | None = None) -> None:
     """Write all log lines as JSON to a file descriptor, standard output by default."""
-    bucket = ByteTokenBucket(BYTES_PER_SECOND, BURST_BYTES, WARNING_RESERVE_BYTES)
+    bucket = ByteTokenBucket(MAX_BYTES_PER_SECOND, BURST_BYTES, WARNING_RESERVE_BYTES)
     writer = LineWriter(sys.stdout.fileno() if descriptor is None else descriptor, bucket)
 
     def sink(message: Any) -> None:
@@ -132,7 +132,7 @@
 
 
 def _last_frames(traceback: Any) -> list[str]:
-    """Return the last frames of a traceback."""
+    """Return the file names and line numbers of a traceback's innermost frames."""
     frames = []
     while traceback is not None:
         code = traceback.tb_frame.f_code
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -41,7 +41,7 @@
 MAX_WATCH_OVERRUN_SECONDS = 0.4
 """Maximum time by which a response may exceed the watch's time-out.
 
-After a later one, the copy is only known to have been current when the call started.
+If a response is later than this, the copy is only known to have been current when the call started.
 """
 
 IDLE_PROBE_INTERVAL_SECONDS = 2.0
@@ -61,7 +61,7 @@
     """Maintains a copy of all documents of one kind.
 
     A document never reverts to an older revision. The copy is retained while the store is
-    unreachable; pages of another node's copy may update it, see :meth:`merge_page`.
+    unreachable. Pages of another node's copy can update it, too; see :meth:`merge_page`.
 
     Args:
         pause_seconds: returns the pause after a watch with changes, which batches them to limit
@@ -150,7 +150,7 @@
     def on_reappearance(self, listener: Callable[[Document], None]) -> None:
         """Register a listener for documents that expired, were retained, and were written again.
 
-        To change listeners they may look unchanged, because the copy never removed them.
+        Change listeners may see no change in them, because the copy never removed them.
         """
         self._reappearance_listeners.append(listener)
 
@@ -248,7 +248,7 @@
             gevent.sleep(self._pause_seconds())
 
     def _take_changes(self, changes: DocumentChanges) -> None:
-        """Apply changes not reflected yet; pages of another node may have brought some of them."""
+        """Apply changes that the copy lacks; a page of another node may have included some."""
         before = self.revision
         self.revision = max(before, changes.revision)
         if self.revision > before:
--- a/src/runkeel/state/lapsed_documents.py
+++ b/src/runkeel/state/lapsed_documents.py
@@ -40,7 +40,7 @@
     ) -> None:
         self._kind = kind
         self._grace_seconds = grace_seconds
-        self._returned_at = recovered_at
+        self._recovered_at = recovered_at
         self._remove = remove
         self._retained: set[str] = set()
         self._ends_at = 0.0
@@ -48,7 +48,7 @@
 
     def retain(self, name: str) -> bool:
         """Retain a document missing from the store; returns False if it must be removed."""
-        recovered_at = self._returned_at()
+        recovered_at = self._recovered_at()
         grace_ends_at = recovered_at + self._grace_seconds
         now = steady_seconds()
         if not recovered_at or now >= grace_ends_at:
--- a/src/runkeel/state/observed_store.py
+++ b/src/runkeel/state/observed_store.py
@@ -32,20 +32,24 @@
 """
 
 MIN_OUTAGE_SECONDS = 2.0
-"""Minimum time from the first failure to the next response after which documents that need
-heartbeats may have expired. Server entries expire after 3.6 s without a heartbeat, and the last one
-may have been sent 1.2 s before the outage.
+"""Minimum duration of an outage in which documents that need heartbeats may have expired.
+
+It counts from the first failure to the next response. Server entries expire after 3.6 s without a
+heartbeat, and the last one may have been sent 1.2 s before the outage.
 """
 
 MIN_FAILURE_SPAN_SECONDS = 0.5
-"""Minimum time between the first and the last failure of an outage. One lost connection fails all
-calls that wait on it at once, which is no outage. Below the shortest pause between two calls in an
-outage of 2 s (0.8 s).
+"""Minimum time between the first and the last failure of an outage.
+
+If a connection is lost, all calls that wait on it fail at once, which is not an outage. The value
+is below the shortest pause between two calls in an outage of 2 s, which is 0.8 s.
 """
 
 MAX_FAILURE_AGE_SECONDS = 3.0
-"""Maximum age of the last failure for a response to tell when the store recovered. Followers call
-a failing store every 1.5 s and wait 1 s for the response.
+"""Maximum time between the last failure and the next response of an outage.
+
+After a longer time, the response does not show when the store recovered. Followers call a failing
+store every 1.5 s and wait 1 s for the response.
 """
 
 
