--- a/tests/base/__init__.py
+++ b/tests/base/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of settings, logs and the HTTP face."""
+"""Tests of document copies, errors, logs, the command lines and the test runner."""
--- a/tests/coordination/__init__.py
+++ b/tests/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this part."""
+"""Tests of the election, the document feed, the order lease and weight rollouts."""
--- a/tests/coordination/expiry_machine.py
+++ b/tests/coordination/expiry_machine.py
@@ -1,8 +1,8 @@
-"""State machine: servers expire in store outages and come back, passed on from copy to copy.
+"""State machine: server documents that expire during store outages and are written again.
 
-One node coordinates; the others read the store or the coordinator, in any order. Each node decides
-on its own whether there was an outage, and then keeps expired servers for a while. The oracle is
-the store: once changes have stopped, every node must have exactly its documents.
+One node coordinates; the others read the store or the coordinator's feed, in any order. Each node
+decides on its own whether there was an outage and, if so, keeps expired documents for a while. The
+oracle is the store: once changes have stopped, every node must have exactly its documents.
 """
 
 from hypothesis import strategies
@@ -30,7 +30,7 @@
 
 
 class _Node:
-    """A node's copy and feed; it passes on only changes of its own copy."""
+    """A node's copy and feed; the feed omits documents that are rewritten without a change."""
 
     def __init__(self, store, now):
         self.recovered_at = 0.0
@@ -132,7 +132,10 @@
 
     @rule(number=strategies.integers(0, FOLLOWERS - 1))
     def follow(self, number):
-        """Have a follower read one page; it must then have what the coordinator has seen."""
+        """Have a follower read the feed; it must then lack nothing that is in the store.
+
+        This is checked only if the coordinator's copy is current.
+        """
         follower = self.followers[number]
         follower.follow(self.coordinator)
         if self.coordinator.watcher.revision == self.store.revision:
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -168,11 +168,13 @@
     def test_store_is_read_after_the_grace_period(self):
         """The age of the copy plus the grace period must stay below the propagation time."""
         propagation = 4.0
-        fresh = document_feed.max_copy_age_seconds(propagation)
+        max_copy_age = document_feed.max_copy_age_seconds(propagation)
         held = feed_follower.max_hold_seconds(propagation) + feed_follower.ANSWER_TIMEOUT_SECONDS
-        grace = feed_follower.grace_seconds(propagation, fresh)
+        grace = feed_follower.grace_seconds(propagation, max_copy_age)
         self.assertGreater(grace, 1.0)
-        self.assertLess(max(fresh, held) + grace + feed_follower.RETRY_SECONDS, propagation - 0.9)
+        self.assertLess(
+            max(max_copy_age, held) + grace + feed_follower.RETRY_SECONDS, propagation - 0.9
+        )
         node, _ = self.follower(grace=GRACE_SECONDS)
         self.network.silent.add("c")
         self.objects.put(KIND, "s1", "draining")
@@ -206,13 +208,13 @@
         self.coordinator.feed.wake()
         self.wait(lambda: not node.following, 1.0)
 
-    def test_revision_of_a_copy_that_lacks_nothing_rises_too(self):
+    def test_revision_of_an_unchanged_copy_advances(self):
         """A watch from a revision that the store has compacted would require a list."""
         node, _ = self.follower()
         latest = self.objects.put(DocumentKind.JOB, "another kind", 1).revision
         self.wait(lambda: node.watcher.revision >= latest)
 
-    def test_node_that_starts_under_a_coordinator_does_not_ask_the_store(self):
+    def test_starting_node_does_not_read_the_store_if_the_coordinator_answers(self):
         store = _StoreConnection(self.objects)
         node = _Node(self.network, store, "n")
         self.follow(node, self.coordinator)
@@ -221,8 +223,8 @@
         self.wait(lambda: node.content)
         self.assertEqual(store.calls, 0)
 
-    def test_node_that_starts_under_a_dark_coordinator_soon_asks_the_store(self):
-        """It has no documents yet and refuses clients until it has."""
+    def test_starting_node_soon_reads_the_store_if_the_coordinator_hangs(self):
+        """The node refuses clients until it has documents."""
         self.network.dark.add("c")
         node = _Node(self.network, self.objects, "n")
         self.follow(node, self.coordinator)
@@ -294,10 +296,10 @@
 
 
 class ExpiredDocumentsTest(unittest.TestCase):
-    """Documents that expire in a store outage and come back, passed on from copy to copy.
+    """Documents that expire during a store outage and are written again afterwards.
 
-    A coordinator that kept them through the outage sees no change when they come back; a node that
-    dropped them, as it had read the store itself, must be notified all the same.
+    A coordinator that kept them through the outage sees no change when they are written again; a
+    node that read the store itself and dropped them must be notified all the same.
     """
 
     def start(self):
@@ -314,7 +316,7 @@
         return _ServerNode(self.network, self.store, name, retention=retention)
 
     def expire(self, *nodes):
-        """Let the document expire; some nodes see the outage, and then that it is gone."""
+        """Let the document expire; the given nodes notice the outage and read the store."""
         self.store.remove(KIND, "s1")
         for node in nodes:
             node.see_outage()
@@ -341,7 +343,7 @@
         self.follower.watcher._step()
         self.assertEqual(self.follower.content, {})
 
-    def test_return_is_sent_to_a_node_that_dropped_the_document(self):
+    def test_reappearance_is_sent_to_a_node_that_dropped_the_document(self):
         for expire_document in (
             self.expire_until_it_is_dropped,
             self.expire_until_it_is_about_to_be_dropped,
@@ -357,7 +359,7 @@
                 gevent.sleep(2 * EXPIRY_SECONDS)
                 self.assertEqual(self.follower.content, {"s1": "ready"})
 
-    def test_return_in_a_list_is_sent(self):
+    def test_reappearance_in_a_list_is_sent(self):
         """The coordinator, whose history is lost, lists only after the document is back."""
         self.start()
         self.expire_until_it_is_dropped()
@@ -370,7 +372,7 @@
 
 
 class _ServerNode(_Node):
-    """A node that passes on, as for servers, only changes of its own copy."""
+    """A node whose feed, as for servers, omits documents that are rewritten without a change."""
 
     def _changed(self, document, removed):
         states = self.__dict__.setdefault("states", {})
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -1,7 +1,8 @@
 """Election and succession of the coordinator.
 
 The delays named in :data:`SCALED` are a tenth of their usual values and the timeout of a watch is
-0.1 s; all other delays have their usual values unless a test sets them.
+0.1 s; all other delays have their usual values unless a test sets them. Nodes called ``disk-N`` are
+preferred, nodes called ``edge-N`` are not.
 """
 
 import unittest
@@ -331,8 +332,8 @@
             if not node.tentative:
                 node._tentative.begin(node.coordinator)
         self._wait(lambda: sum(node.tentative for node in others) == 1)
-        (left,) = [node for node in others if node.tentative]
-        self.assertEqual(left.node_id, min(node.node_id for node in others))
+        (remaining,) = [node for node in others if node.tentative]
+        self.assertEqual(remaining.node_id, min(node.node_id for node in others))
 
     def test_claim_whose_answer_was_lost_confirms_the_term(self):
         nodes = self._nodes("a", "b", "c")
--- a/tests/coordination/test_expiry_fuzz.py
+++ b/tests/coordination/test_expiry_fuzz.py
@@ -22,7 +22,7 @@
             violation = find_violation(ExpiryMachine, fuzz_settings(MUTANT_EXAMPLES))
         self.assertIsNotNone(violation)
 
-    def test_unnotified_returns_are_found(self):
+    def test_missing_notification_of_reappearances_is_found(self):
         self.check_found(DocumentWatcher, "on_reappearance", lambda self, listener: None)
 
     def test_missing_comparison_of_copies_is_found(self):
--- a/tests/coordination/test_rollout_plan.py
+++ b/tests/coordination/test_rollout_plan.py
@@ -22,21 +22,21 @@
             for n in range(ENGINES)
         ]
         self.versions = dict.fromkeys(MODELS, 1)
-        self.have = {}
+        self.loaded_versions = {}
         self.avoided = set()
         self.items = 100
         self.max_version_lag = 1
 
-    def standing(self, state, model):
+    def engine_status(self, state, model):
         avoided = state.backend_id in self.avoided
-        version = self.have.get((state.backend_id, model), 1)
+        version = self.loaded_versions.get((state.backend_id, model), 1)
         return EngineStatus(state, version, 0, not avoided, avoided)
 
     def plan(self, loading=0):
         demand = ModelDemand(0, self.max_version_lag, self.items, False)
         available_loads = LoadPacing(0.9).available_loads(len(self.engines), loading)
         return plan_changes(
-            self.engines, self.versions, lambda model: demand, self.standing, available_loads
+            self.engines, self.versions, lambda model: demand, self.engine_status, available_loads
         )
 
     def count(self, changes):
@@ -52,7 +52,7 @@
     def test_model_with_fewest_engines_goes_first(self):
         self.versions = dict.fromkeys(MODELS, 3)
         for model in ("draft", "learn"):
-            self.have.update({(f"e{n}", model): 3 for n in range(7)})
+            self.loaded_versions.update({(f"e{n}", model): 3 for n in range(7)})
         self.assertEqual(self.count(self.plan()), [0, 0, 7])
 
     def test_engines_that_jobs_no_longer_accept_go_first(self):
--- a/tests/coordination/test_version_rollout.py
+++ b/tests/coordination/test_version_rollout.py
@@ -44,7 +44,7 @@
 
     def parse_report(self, body):
         report = json.loads(body)
-        versions, start = report["versions"], report["born"]
+        versions, start = report["versions"], report["start"]
         return EngineReport(report["sequence"], report["busy"], 0, 0, versions, start)
 
 
@@ -75,18 +75,18 @@
         self.load_seconds = load_seconds
         self.answers_to_lose = 0
         self.late_order_seconds = 0.0
-        self.born = ""
+        self.start_id = ""
         self.server = WSGIServer(("127.0.0.1", 0), self._answer, log=None)
         self.server.start()
 
     @property
     def backend(self):
         address = Address("127.0.0.1", self.server.server_port)
-        return Backend(self.backend_id, SERVICE, address, "zone", 8, False, {}, self.born)
+        return Backend(self.backend_id, SERVICE, address, "zone", 8, False, {}, self.start_id)
 
-    def restart(self, born, version):
+    def restart(self, start_id, version):
         """Restart under the same id without any earlier state."""
-        self.born, self.sequence, self.busy = born, 0, False
+        self.start_id, self.sequence, self.busy = start_id, 0, False
         self.versions = dict.fromkeys(self.versions, version)
 
     def _answer(self, environment, start_response):
@@ -95,7 +95,7 @@
                 "sequence": self.sequence,
                 "busy": self.busy,
                 "versions": self.versions,
-                "born": self.born,
+                "start": self.start_id,
             }
             start_response("200 OK", [])
             return [json.dumps(report).encode()]
@@ -171,13 +171,13 @@
         gevent.sleep(0.3)
         self.assertEqual(self._versions(), sorted(expected))
 
-    def test_without_slack_every_engine_changes(self):
+    def test_without_version_lag_every_engine_changes(self):
         self._start(4)
         self._publish(2)
         self._wait_versions(2, 2, 2, 2)
         self.assertEqual([len(engine.orders) for engine in self.engines], [1, 1, 1, 1])
 
-    def test_with_slack_half_of_the_engines_change_per_version(self):
+    def test_with_a_lag_of_one_half_of_the_engines_change_per_version(self):
         self._start(4, max_version_lag=1)
         self._publish(2)
         self._wait_versions(1, 1, 2, 2)
@@ -212,8 +212,8 @@
         self._publish(2)
         self._wait_versions(1, 2, 2, 2, 2, 2)
 
-    def test_lost_order_is_settled_by_the_report(self):
-        """A lost order may be applied late; it must not be sent a second time."""
+    def test_report_shows_the_outcome_of_an_unanswered_order(self):
+        """An unanswered order may be applied late; it must not be sent a second time."""
         self._start(1)
         self.engines[0].answers_to_lose = 1
         self.engines[0].late_order_seconds = 0.2
@@ -221,7 +221,7 @@
         self._wait_versions(2)
         self.assertEqual(len(self.engines[0].orders), 1)
 
-    def test_lost_order_without_effect_is_sent_again(self):
+    def test_unanswered_order_without_effect_is_sent_again(self):
         self._start(1)
         self.engines[0].answers_to_lose = 1
         self.engines[0].late_order_seconds = 60.0
@@ -259,8 +259,8 @@
         self._wait_versions(2)
         self.assertEqual(len(self.engines[0].orders), 1)
 
-    def test_order_that_reaches_the_next_start_late_leaves_the_right_version(self):
-        """A restarted engine may apply a late order; the target must be reached all the same."""
+    def test_late_order_to_a_restarted_engine_does_not_keep_it_from_the_target(self):
+        """A restarted engine may apply an order that was sent to its previous incarnation."""
         self._start(1)
         engine = self.engines[0]
         engine.restart("1000", 1)
@@ -298,7 +298,7 @@
             gevent.sleep(0.02)
         self.assertEqual(len(self.engines[0].orders), 1)
 
-    def test_engine_is_loading_for_its_own_model_only(self):
+    def test_only_the_model_that_changes_is_loading(self):
         self._start(1, models=("m", "other"))
         self.engines[0].load_seconds = 0.6
         self._publish(2)
--- a/tests/open_quarantine.py
+++ b/tests/open_quarantine.py
@@ -1,4 +1,4 @@
-"""A single-node quarantine for tests of its users."""
+"""A quarantine without peers, for tests of code that uses one."""
 
 from runkeel.quarantine.quarantine import Quarantine
 from runkeel.quarantine.trials import TrialAnswer
