--- a/src/runkeel/coordination/succession.py
+++ b/src/runkeel/coordination/succession.py
@@ -90,7 +90,11 @@
         self._failing_since = 0.0
 
     def is_serving(self, pong: CoordinatorPong | None) -> bool:
-        """Record a ping's answer (None: no answer); returns whether the coordinator is serving."""
+        """Record a ping's answer (None: no answer); returns whether the coordinator is serving.
+
+        It is if it coordinates, unless it has been cut off from the store for
+        :data:`STORE_LOSS_TIMEOUT_SECONDS` while this node reaches the store.
+        """
         if pong is None:
             return False
         self._rank = pong.rank
