--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -84,7 +84,7 @@
 
     Args:
         zone: zone of this node; servers of the same zone are preferred.
-        meter: counts the requests that servers started to run.
+        meter: counts the requests that servers ran or may have run.
         quarantine: quarantines requests that crash servers. A quarantined request is sent only on
             a trial: a single send that the coordinator grants.
     """
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -29,8 +29,12 @@
 
 
 @dataclass(slots=True)
-class OpenedStream:
-    """A response whose body is relayed as it arrives, or is complete if it is ``bytes``."""
+class ForwardedResponse:
+    """A response.
+
+    Its body is ``bytes`` if complete, otherwise an iterator that yields it as it arrives. Within
+    this module, status 0 means that the next server may be tried.
+    """
 
     status: int
     headers: list[tuple[str, str]]
@@ -38,15 +42,17 @@
 
 
 @dataclass(slots=True)
-class _Relay:
+class _ClientStream:
     """State of one client stream and its attempts.
 
     Attributes:
         disconnected: set when the client has disconnected.
         tried: incarnations of the servers already tried, including those that were unreachable.
         attempts_run: attempts that a server ran or may have run; only these count towards the
-            route's maximum. Increased after an uncertain failure or after a response other than a
-            refusal, not on sending.
+            route's maximum. An attempt is counted once its response or error is known, not on
+            sending.
+        state: the server that sends the current stream.
+        server_stream: the current stream from that server; None while none is open.
     """
 
     request: ForwardedRequest
@@ -58,7 +64,7 @@
     tried: set[str] = field(default_factory=set)
     attempts_run: int = 0
     state: BackendState | None = None
-    stream: HttpResponseStream | None = None
+    server_stream: HttpResponseStream | None = None
     last_event_id: str | None = None
 
 
@@ -67,7 +73,7 @@
 
     Args:
         zone: zone of this node; servers of the same zone are preferred.
-        meter: counts the streams that servers started.
+        meter: counts the requests that servers ran or may have run.
         quarantine: quarantines requests that crash servers.
     """
 
@@ -92,8 +98,8 @@
         service: str,
         deadline: float,
         disconnected: Event,
-    ) -> OpenedStream:
-        """Return a stream once a server has sent its response headers.
+    ) -> ForwardedResponse:
+        """Return the response once a server has sent its headers; a failure response is complete.
 
         Args:
             deadline: steady clock time, in seconds, by which the response has to be complete.
@@ -105,22 +111,27 @@
         watched = self._quarantine.watch(
             lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
         )
-        relay = _Relay(request, watched, route, service, deadline, disconnected)
-        relay.last_event_id = request.resume_after
+        client_stream = _ClientStream(request, watched, route, service, deadline, disconnected)
+        client_stream.last_event_id = request.resume_after
         usage_entry = self._meter.start_request(request.tenant)
         try:
-            failure = self._try_servers(relay)
+            failure = self._try_servers(client_stream)
         finally:
-            if not relay.attempts_run:
-                # A trial is a single send of a quarantined request, granted by the coordinator.
+            if not client_stream.attempts_run:
+                # A trial is a single send of a quarantined request, granted by the coordinator; it
+                # is unused if no server received the request.
                 watched.return_trial()
-            started_at = self._meter.now() if relay.attempts_run else None
+            started_at = self._meter.now() if client_stream.attempts_run else None
             self._meter.finish_request(usage_entry, request.tenant, started_at)
         if failure is not None:
             return failure
-        return OpenedStream(relay.stream.status, relay.stream.headers, self._relay(relay))
+        return ForwardedResponse(
+            client_stream.server_stream.status,
+            client_stream.server_stream.headers,
+            self._relay(client_stream),
+        )
 
-    def _try_servers(self, relay: _Relay) -> OpenedStream | None:
+    def _try_servers(self, client_stream: _ClientStream) -> ForwardedResponse | None:
         """Try servers until one opens a stream.
 
         Returns:
@@ -130,49 +141,53 @@
             RunkeelError: if no server opened a stream and none responded with a failure, or if an
                 attempt may have run and the request is not repeatable.
         """
-        failure: OpenedStream | None = None
-        error = not_run(ErrorCode.QUEUE_FULL, relay.service)
-        while steady_seconds() < relay.deadline and not relay.disconnected.is_set():
-            if relay.attempts_run >= relay.route.max_attempts:
+        failure: ForwardedResponse | None = None
+        error = not_run(ErrorCode.QUEUE_FULL, client_stream.service)
+        while steady_seconds() < client_stream.deadline and not client_stream.disconnected.is_set():
+            if client_stream.attempts_run >= client_stream.route.max_attempts:
                 break
-            candidates = self._directory.candidates(relay.service, relay.tried)
-            if relay.watched.quarantined:
+            candidates = self._directory.candidates(client_stream.service, client_stream.tried)
+            if client_stream.watched.quarantined:
                 candidates = [one for one in candidates if not one.ended]
-            state = choose_backend(candidates, relay.tried, self._zone)
+            state = choose_backend(candidates, client_stream.tried, self._zone)
             if state is None:
                 break
-            if relay.watched.quarantined:
-                if relay.attempts_run:
+            if client_stream.watched.quarantined:
+                if client_stream.attempts_run:
+                    # A trial allows one attempt, and a request quarantined meanwhile gets no
+                    # further one.
                     break
-                relay.watched.admit()
-            relay.tried.add(state.incarnation)
+                client_stream.watched.admit()
+            client_stream.tried.add(state.incarnation)
             try:
-                outcome = self._send_to_server(relay, state)
+                outcome = self._send_to_server(client_stream, state)
             except RunkeelError as raised:
-                ATTEMPTS.labels(relay.service, str(raised.code)).inc()
+                ATTEMPTS.labels(client_stream.service, str(raised.code)).inc()
                 state.record_call_failure()
-                relay.watched.record_failure(state, raised)
+                client_stream.watched.record_failure(state, raised)
                 if raised.verdict is Verdict.NOT_RUN:
                     continue
-                relay.attempts_run += 1
+                client_stream.attempts_run += 1
                 error = raised
-                if not relay.route.repeatable:
+                if not client_stream.route.repeatable:
                     raise
                 continue
             if outcome is None:
                 return None
             if outcome.status:
                 failure = outcome
-                if not relay.route.repeatable:
+                if not client_stream.route.repeatable:
                     return failure
         if failure is not None:
             return failure
         if error.code is ErrorCode.QUEUE_FULL:
-            servers = self._directory.candidates(relay.service)
+            servers = self._directory.candidates(client_stream.service)
             error.retry_after_seconds = estimate_retry_after(servers, steady_seconds())
         raise error
 
-    def _send_to_server(self, relay: _Relay, state: BackendState) -> OpenedStream | None:
+    def _send_to_server(
+        self, client_stream: _ClientStream, state: BackendState
+    ) -> ForwardedResponse | None:
         """Send the request to one server.
 
         Returns:
@@ -180,39 +195,44 @@
             sentinel for trying the next server: this one refused the request, or the response
             came from another server at its address.
         """
-        remaining = relay.deadline - steady_seconds()
-        request = replace(relay.request, resume_after=relay.last_event_id)
+        remaining = client_stream.deadline - steady_seconds()
+        request = replace(client_stream.request, resume_after=client_stream.last_event_id)
         outgoing = self._protocol.encode_plain(request, state.backend, remaining)
         state.in_flight += 1
         stream: HttpResponseStream | None = None
         disconnect_watcher = gevent.spawn(
-            _cancel_on_disconnect, relay.disconnected, gevent.getcurrent()
+            _cancel_on_disconnect, client_stream.disconnected, gevent.getcurrent()
         )
         try:
-            stream = state.pool.open_stream(outgoing, relay.deadline)
+            stream = state.pool.open_stream(outgoing, client_stream.deadline)
         finally:
             disconnect_watcher.kill(block=False)
             if stream is None:
                 state.in_flight -= 1
-        relay.watched.record_delivery()
+        client_stream.watched.record_delivery()
         response_class = self._protocol.classify(request.request_id, stream.status, stream.headers)
-        ATTEMPTS.labels(relay.service, response_class.value).inc()
+        ATTEMPTS.labels(client_stream.service, response_class.value).inc()
         if response_class is ResponseClass.SUCCESS:
-            relay.attempts_run += 1
-            relay.state, relay.stream = state, stream
+            client_stream.attempts_run += 1
+            client_stream.state, client_stream.server_stream = state, stream
             return None
-        return self._read_failure(relay, state, stream, response_class)
+        return self._read_failure(client_stream, state, stream, response_class)
 
     def _read_failure(
         self,
-        relay: _Relay,
+        client_stream: _ClientStream,
         state: BackendState,
         stream: HttpResponseStream,
         response_class: ResponseClass,
-    ) -> OpenedStream:
-        """Read a failure response; returns status 0 if the next server may be tried instead."""
+    ) -> ForwardedResponse:
+        """Read a failure response; returns status 0 if the next server may be tried instead.
+
+        Raises:
+            RunkeelError: like :meth:`HttpResponseStream.chunks`, and BACKEND_LOST (MAY_HAVE_RUN) if
+                the response is FOREIGN.
+        """
         try:
-            body = b"".join(stream.chunks(relay.deadline))
+            body = b"".join(stream.chunks(client_stream.deadline))
         finally:
             stream.close()
             state.in_flight -= 1
@@ -220,91 +240,95 @@
             state.record_call_refusal()
             if response_class is ResponseClass.MISDIRECTED:
                 self._quarantine.crash_detector.address_taken(state)
-            return OpenedStream(0, [], b"")
-        relay.attempts_run += 1
+            return ForwardedResponse(0, [], b"")
+        client_stream.attempts_run += 1
         if response_class is ResponseClass.FOREIGN:
-            raise RunkeelError(ErrorCode.BACKEND_LOST, "response to a different request")
-        return OpenedStream(stream.status, stream.headers, body)
+            raise RunkeelError(
+                ErrorCode.BACKEND_LOST, "response is unsigned or belongs to a different request"
+            )
+        return ForwardedResponse(stream.status, stream.headers, body)
 
-    def _relay(self, relay: _Relay) -> Iterator[bytes]:
-        abort_watcher = gevent.spawn(_abort_on_disconnect, relay)
+    def _relay(self, client_stream: _ClientStream) -> Iterator[bytes]:
+        abort_watcher = gevent.spawn(_abort_on_disconnect, client_stream)
         try:
             while True:
-                error = yield from self._relay_attempt(relay)
+                error = yield from self._relay_attempt(client_stream)
                 if error is None:
-                    relay.state.record_call_success()
-                    relay.watched.record_success()
+                    client_stream.state.record_call_success()
+                    client_stream.watched.record_success()
                     return
-                self._resume(relay, error)
+                self._resume(client_stream, error)
         finally:
             abort_watcher.kill(block=False)
-            self._close_stream(relay)
+            self._close_stream(client_stream)
 
-    def _relay_attempt(self, relay: _Relay) -> Iterator[bytes]:
+    def _relay_attempt(self, client_stream: _ClientStream) -> Iterator[bytes]:
         """Relay one attempt; the generator returns the error that interrupted it, or None."""
         buffer = b""
         while True:
             idle_deadline = steady_seconds() + STREAM_IDLE_TIMEOUT_SECONDS
             read_deadline = (
-                min(relay.deadline, idle_deadline) if relay.route.resumable else relay.deadline
+                min(client_stream.deadline, idle_deadline)
+                if client_stream.route.resumable
+                else client_stream.deadline
             )
             try:
-                chunk = relay.stream.read_chunk(read_deadline)
+                chunk = client_stream.server_stream.read_chunk(read_deadline)
             except RunkeelError as error:
                 return error
             if chunk is None:
                 if buffer:
                     yield buffer
                 return None
-            if not relay.route.resumable:
+            if not client_stream.route.resumable:
                 yield chunk
                 continue
             *events, buffer = (buffer + chunk).split(_EVENT_SEPARATOR)
             for event in events:
-                error = self._check_event(relay, event)
+                error = self._check_event(client_stream, event)
                 if error is not None:
                     return error
                 yield event + _EVENT_SEPARATOR
 
-    def _check_event(self, relay: _Relay, block: bytes) -> RunkeelError | None:
+    def _check_event(self, client_stream: _ClientStream, block: bytes) -> RunkeelError | None:
         """Record the id of an event; returns an error if it isn't the next one in sequence."""
         event = self._protocol.parse_event(block)
         if not event.event_id:
             return None
-        if not is_next_event(relay.last_event_id, event.event_id):
-            detail = f"event {event.event_id} out of sequence after {relay.last_event_id}"
+        if not is_next_event(client_stream.last_event_id, event.event_id):
+            detail = f"event {event.event_id} out of sequence after {client_stream.last_event_id}"
             return RunkeelError(ErrorCode.BACKEND_LOST, detail)
-        relay.last_event_id = event.event_id
+        client_stream.last_event_id = event.event_id
         return None
 
-    def _resume(self, relay: _Relay, error: RunkeelError) -> None:
+    def _resume(self, client_stream: _ClientStream, error: RunkeelError) -> None:
         """Resume at another server. Raises ResponseAbortedError if that fails."""
         logger.info(
             "stream interrupted",
             code="stream_broken",
-            request=relay.request.request_id,
-            backend=relay.state.incarnation,
-            after=relay.last_event_id,
+            request=client_stream.request.request_id,
+            backend=client_stream.state.incarnation,
+            after=client_stream.last_event_id,
             error=error.detail,
-            resumable=relay.route.resumable,
+            resumable=client_stream.route.resumable,
         )
-        relay.state.record_call_failure()
-        relay.watched.record_failure(relay.state, error)
-        self._close_stream(relay)
-        if not relay.route.resumable or relay.disconnected.is_set():
+        client_stream.state.record_call_failure()
+        client_stream.watched.record_failure(client_stream.state, error)
+        self._close_stream(client_stream)
+        if not client_stream.route.resumable or client_stream.disconnected.is_set():
             raise ResponseAbortedError(error.detail)
         try:
-            failure = self._try_servers(relay)
+            failure = self._try_servers(client_stream)
         except RunkeelError as raised:
             raise ResponseAbortedError(raised.detail) from raised
         if failure is not None:
             raise ResponseAbortedError(f"the server to resume at returned status {failure.status}")
 
-    def _close_stream(self, relay: _Relay) -> None:
-        stream, relay.stream = relay.stream, None
+    def _close_stream(self, client_stream: _ClientStream) -> None:
+        stream, client_stream.server_stream = client_stream.server_stream, None
         if stream is not None:
             stream.close()
-            relay.state.in_flight -= 1
+            client_stream.state.in_flight -= 1
 
 
 def _cancel_on_disconnect(disconnected: Event, opener: gevent.Greenlet) -> None:
@@ -312,8 +336,8 @@
     gevent.kill(opener, RunkeelError(ErrorCode.CANCELLED, "the client disconnected"))
 
 
-def _abort_on_disconnect(relay: _Relay) -> None:
-    relay.disconnected.wait()
-    stream = relay.stream
+def _abort_on_disconnect(client_stream: _ClientStream) -> None:
+    client_stream.disconnected.wait()
+    stream = client_stream.server_stream
     if stream is not None:
         stream.abort()
--- a/tests/gateway/test_retry_after.py
+++ b/tests/gateway/test_retry_after.py
@@ -31,7 +31,7 @@
 DRAWS = 50
 
 
-class ReturnTimeTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     def setUp(self):
         self.directory = directory_of(a=ScriptedPool(), b=ScriptedPool())
         self.servers = self.directory.of_service(SERVICE)
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -89,13 +89,13 @@
             list(stream.body)
         self.assertEqual(sum(pool.requests for pool in pools.values()), 1)
 
-    def test_request_refused_by_all_servers_did_not_run(self):
+    def test_request_that_no_server_accepts_did_not_run(self):
         with self.assertRaises(RunkeelError) as caught:
             self.open(make_route(), a=ScriptedPool(503), b=ScriptedPool(unreachable()))
         self.assertIs(caught.exception.verdict, Verdict.NOT_RUN)
         self.assertEqual((self.in_flight(), self.counted), (0, 0))
 
-    def test_non_repeatable_stream_that_may_have_started_is_not_retried(self):
+    def test_non_resumable_stream_that_may_have_started_is_not_retried(self):
         pools = {name: ScriptedPool(lost()) for name in ("a", "b")}
         with self.assertRaises(RunkeelError) as caught:
             self.open(make_route(resumable=False), **pools)
