--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -24,7 +24,7 @@
 
 _BACKLOG = 512
 _BODILESS_STATUSES = (204, 304)
-_HANDLER_KEY = "runkeel.handler"
+_CONNECTION_KEY = "runkeel.connection"
 _MINIMUM_HEADER_SECONDS = 1.0
 
 
@@ -76,10 +76,12 @@
     """Raised to close the client's connection without completing the response."""
 
 
-class _Handler(WSGIHandler):
+class _ClientConnection(WSGIHandler):
+    """A client's connection; gevent calls its methods to read and answer the requests on it."""
+
     def get_environ(self) -> dict[str, Any]:
         environment = super().get_environ()
-        environment[_HANDLER_KEY] = self
+        environment[_CONNECTION_KEY] = self
         if self.server.stopping:
             self.close_connection = True
         return environment
@@ -87,13 +89,14 @@
     def handle(self) -> None:
         self.socket.settimeout(self.server.limits().idle_timeout_seconds)
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.server.handlers.add(self)
+        self.server.connections.add(self)
         try:
             super().handle()
         finally:
-            self.server.handlers.discard(self)
+            self.server.connections.discard(self)
 
     busy = False
+    """Whether a request whose headers have been read is being handled."""
 
     def handle_one_request(self) -> Any:
         self.busy = False
@@ -122,11 +125,11 @@
 
 
 class _Server(WSGIServer):
-    handler_class = _Handler
+    handler_class = _ClientConnection
     stopping = False
     in_flight = 0
     limits: Callable[[], ClientLimits]
-    handlers: set[_Handler]
+    connections: set[_ClientConnection]
 
     def update_environ(self) -> None:
         """Set SERVER_NAME to the address; the default is a DNS lookup, which could block."""
@@ -160,7 +163,7 @@
             backlog=_BACKLOG,
         )
         self._server.limits = limits
-        self._server.handlers = set()
+        self._server.connections = set()
 
     @property
     def address(self) -> Address:
@@ -189,9 +192,9 @@
 
     def close_idle(self) -> None:
         """Close the connections that have no request in flight or partly read."""
-        for handler in list(self._server.handlers):
-            if not handler.busy and handler.requestline is None:
-                handler.socket.close()
+        for client_connection in list(self._server.connections):
+            if not client_connection.busy and client_connection.requestline is None:
+                client_connection.socket.close()
 
     def stop(self) -> None:
         """Close the listener and every connection."""
@@ -200,7 +203,7 @@
     def _application(
         self, environment: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        connection: _Handler = environment[_HANDLER_KEY]
+        connection: _ClientConnection = environment[_CONNECTION_KEY]
         request = self._read_request(environment, connection)
         if request is None:
             start_response(_status_line(413), [("Content-Length", "0"), ("Connection", "close")])
@@ -218,7 +221,10 @@
         return _relay(response.body, watcher)
 
     def _send_complete(
-        self, response: ClientResponse, connection: _Handler, start_response: Callable[..., Any]
+        self,
+        response: ClientResponse,
+        connection: _ClientConnection,
+        start_response: Callable[..., Any],
     ) -> Iterable[bytes]:
         if response.status not in _BODILESS_STATUSES:
             response.headers.append(("Content-Length", str(len(response.body))))
@@ -240,8 +246,9 @@
             return ClientResponse(500)
 
     def _read_request(
-        self, environment: dict[str, Any], connection: _Handler
+        self, environment: dict[str, Any], connection: _ClientConnection
     ) -> ClientRequest | None:
+        """Return the request, or None if its body exceeds the limit."""
         received_at = steady_seconds()
         limit = self._limits().max_body_bytes
         body = _read_body(environment, limit)
