--- a/src/runkeel/backends/http_connection.py
+++ b/src/runkeel/backends/http_connection.py
@@ -1,7 +1,7 @@
 """Pool of keep-alive HTTP/1.1 connections to one backend, with a verdict for every failure.
 
 The parser is geventhttpclient's (llhttp). Its connection pool is not used, as it doesn't report
-whether any byte of the request was written, which decides between ``NOT_RUN`` and ``MAY_HAVE_RUN``.
+whether sending of the request had begun, which decides between ``NOT_RUN`` and ``MAY_HAVE_RUN``.
 """
 
 from __future__ import annotations
@@ -27,7 +27,10 @@
 """Maximum number of bytes per read from a socket."""
 
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
-"""Default maximum size of a response body, to bound the memory that a backend can use."""
+"""Default maximum size of a response body, to bound the memory that a backend can use.
+
+It applies to :meth:`HttpConnectionPool.request`; the body of a stream is not limited.
+"""
 
 MAX_IDLE_CONNECTIONS = 32
 """Maximum number of idle connections kept per backend."""
@@ -94,15 +97,17 @@
 
     def handle_eof(self) -> bool:
         """Handle the end of the connection; returns True if it delimits the response body."""
-        delimited = "content-length" in self or "transfer-encoding" in self
-        if not self.allow_close_delimited or not self.final_headers_complete or delimited:
+        has_explicit_length = "content-length" in self or "transfer-encoding" in self
+        if not self.allow_close_delimited or not self.final_headers_complete or has_explicit_length:
             return False
         self.message_complete = True
-        self.closed_by_peer = True
+        self.delimited_by_close = True
         return True
 
-    closed_by_peer = False
+    delimited_by_close = False
+    """Whether the body had no explicit length and ended with the connection."""
     allow_close_delimited = False
+    """Whether a body without an explicit length may end with the connection."""
 
     @property
     def idle_seconds(self) -> float:
@@ -200,7 +205,8 @@
     """Connections to one backend.
 
     Args:
-        max_response_bytes: maximum size of a response body.
+        max_response_bytes: maximum size of a response body in :meth:`request`; streams are not
+            limited.
         allow_close_delimited: whether a response without a length may be delimited by a regular
             close of the connection; otherwise it counts as truncated.
     """
@@ -231,20 +237,24 @@
 
         Args:
             deadline: steady clock time, in seconds, at which to give up.
-            before_send: called once, right before the first byte is written; if it raises,
-                nothing is sent.
-            accept: checks the response; if it returns False, the connection is reset.
+            before_send: called once, right before sending begins; if it raises, nothing is sent.
+            accept: checks the response; if it returns False, the connection is reset and
+                BACKEND_LOST (MAY_HAVE_RUN) is raised.
 
         Raises:
-            RunkeelError: with verdict NOT_RUN if no byte was sent: BACKEND_UNREACHABLE,
+            RunkeelError: with verdict NOT_RUN if sending had not begun: BACKEND_UNREACHABLE,
                 DEADLINE_EXCEEDED or BAD_REQUEST; otherwise with MAY_HAVE_RUN: BACKEND_LOST,
                 TRUNCATED_ANSWER or DEADLINE_EXCEEDED.
         """
         sock, parser = self._exchange_headers(request, deadline, before_send)
         try:
             if accept is not None and not accept(parser.get_code(), list(parser.items())):
+                # Makes release() reset the connection.
                 parser.message_complete = False
-                raise may_have_run(ErrorCode.BACKEND_LOST, "response to a different request")
+                raise may_have_run(
+                    ErrorCode.BACKEND_LOST,
+                    "response failed the check that it belongs to the request",
+                )
             while not parser.finished:
                 if parser.buffered_bytes > self._max_response_bytes:
                     raise may_have_run(
@@ -274,7 +284,7 @@
             self.reset(sock)
             return
         self._in_use.discard(sock)
-        reusable = not parser.closed_by_peer and not parser.should_close()
+        reusable = not parser.delimited_by_close and not parser.should_close()
         if self._closed or not reusable or len(self._idle) >= MAX_IDLE_CONNECTIONS:
             sock.close()
             return
@@ -327,7 +337,7 @@
 
         Called when the backend's incarnation is known to be over. Waiting callers get BACKEND_LOST
         or TRUNCATED_ANSWER at once. Otherwise, if the backend's machine lost power, they would wait
-        until their deadline.
+        until unanswered TCP keep-alive probes or the TCP user timeout end the connection.
         """
         self._aborted = True
         self.close()
