--- a/src/runkeel/wire/connection.py
+++ b/src/runkeel/wire/connection.py
@@ -24,10 +24,12 @@
 from runkeel.wire.streams import Stream
 
 PEER_TIMEOUT_SECONDS = 2.0
-"""Time-out after which an unresponsive peer counts as lost.
+"""Timeout after which an unresponsive peer counts as lost.
 
-With open streams, this is the time without received data; without streams, pings are sent later,
-see :data:`IDLE_KEEPALIVE_SECONDS`. It is also the time-out of each send on the socket.
+With open streams, it counts from the last received data, and the peer is pinged after
+:data:`KEEPALIVE_SECONDS`. Without streams, the ping is sent only after
+:data:`IDLE_KEEPALIVE_SECONDS`. In both cases the peer has ``PEER_TIMEOUT_SECONDS -
+KEEPALIVE_SECONDS`` to respond to the ping. Each send on the socket has this timeout too.
 """
 
 KEEPALIVE_SECONDS = 0.5
@@ -72,11 +74,9 @@
 class Connection:
     """A connection to one peer. Implements :class:`runkeel.wire.streams.FrameSink`.
 
-    Connections to other zones always have a link policy; the default one has no effect, and only
-    tests pass one that emulates delays and partitions.
-
     Args:
-        link_policy: emulates the link to the peer's zone; None within a zone.
+        link_policy: delays and partitions that tests emulate between zones; the default policy has
+            neither. None for a peer in the same zone.
         registry: handles streams that the peer opens; None on the dialing side.
         on_closed: called once when the connection has ended.
     """
@@ -101,8 +101,10 @@
         self._last_stream_id = 0
         self._queue: deque[_QueuedFrame] = deque()
         self._queued_bytes = 0
-        self._queue_filled = Event()
-        self._queue_drained = Event()
+        self._frames_queued = Event()
+        """Set when a frame is queued; cleared by the writer task before it checks the queue."""
+        self._frames_dequeued = Event()
+        """Set when frames are removed from the queue; cleared by a writer that waits for space."""
         self._last_received_at = steady_seconds()
         self._ping_sent_at: float | None = None
         self._last_used_at = steady_seconds()
@@ -148,8 +150,8 @@
         """
         deadline = steady_seconds() + SEND_QUEUE_TIMEOUT_SECONDS
         while self._queued_bytes >= MAX_QUEUED_BYTES and not self.closed:
-            self._queue_drained.clear()
-            if not self._queue_drained.wait(max(0.0, deadline - steady_seconds())):
+            self._frames_dequeued.clear()
+            if not self._frames_dequeued.wait(max(0.0, deadline - steady_seconds())):
                 raise RunkeelError(ErrorCode.DEADLINE_EXCEEDED, "send queue stayed full")
         if self.closed:
             raise RunkeelError(ErrorCode.PEER_LOST, f"connection to {self.peer_node_id} is closed")
@@ -208,7 +210,7 @@
         for stream in streams:
             stream.on_connection_lost()
         self._queue.clear()
-        self._queue_drained.set()
+        self._frames_dequeued.set()
         self._on_closed(self)
         # Done last, and not for the current task, which may be the reader or the writer.
         current = gevent.getcurrent()
@@ -228,14 +230,14 @@
             send_at = steady_seconds() + delay if delay else 0.0
         self._queue.append(_QueuedFrame(stream, data, send_at))
         self._queued_bytes += len(data)
-        self._queue_filled.set()
+        self._frames_queued.set()
 
     def _write(self) -> None:
         try:
             while not self.closed:
-                self._queue_filled.clear()
+                self._frames_queued.clear()
                 if not self._queue:
-                    self._queue_filled.wait()
+                    self._frames_queued.wait()
                     continue
                 self._wait_for_emulated_link()
                 self._send(self._next_batch())
@@ -259,8 +261,8 @@
     def _next_batch(self) -> bytes:
         """Return the frames to send now.
 
-        Marks their streams as sent: from here on, cancelling one no longer proves that it was not
-        run.
+        Marks the opening frames of their streams as sent: from here on, the peer may act on them,
+        even if the stream is cancelled.
         """
         parts = []
         size = 0
@@ -274,7 +276,7 @@
                 stream.opening_sent = True
             parts.append(data)
             size += len(data)
-        self._queue_drained.set()
+        self._frames_dequeued.set()
         return b"".join(parts) if len(parts) != 1 else parts[0]
 
     def _send(self, batch: bytes) -> None:
--- a/src/runkeel/wire/links.py
+++ b/src/runkeel/wire/links.py
@@ -1,4 +1,4 @@
-"""Emulated delays and partitions between zones; the default policy has neither."""
+"""Delays and partitions between zones that tests emulate; the default policy has neither."""
 
 from __future__ import annotations
 
--- a/src/runkeel/wire/network.py
+++ b/src/runkeel/wire/network.py
@@ -49,7 +49,7 @@
         cluster_key: secret shared by the cluster's nodes; must not be empty.
         listen_address: port 0 lets the kernel choose; see :attr:`address`.
         address_book: queried for every call, so that address changes take effect.
-        link_policy: emulates delays and partitions between zones.
+        link_policy: delays and partitions that tests emulate between zones; None: neither.
     """
 
     def __init__(
