--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -48,7 +48,7 @@
 
     Attributes:
         resume_after: id of the last event of the stream that the client has received.
-        urgency: priority to send if the client's headers contain none, 0 is the most urgent;
+        urgency: priority to send if the client's headers contain none; 0 is the most urgent;
             None: send none.
         tenant: tenant that the request belongs to; empty: none.
     """
@@ -66,9 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationRequest:
-    """One attempt at an item of a batch job; ``urgency`` 0 is admitted first.
+    """One attempt at an item of a batch job.
 
     Attributes:
+        urgency: priority sent with the request; 0 is the most urgent and is admitted first.
         tenant: tenant that owns the job; empty: none.
     """
 
@@ -121,7 +122,7 @@
     """State of an engine, up to a few hundred milliseconds old.
 
     Attributes:
-        sequence: number of orders accepted since it started.
+        sequence: number of orders to load a weight version that it has accepted since it started.
         start: identifies the incarnation of the engine; empty: not reported.
     """
 
--- a/src/runkeel/api/fleet.py
+++ b/src/runkeel/api/fleet.py
@@ -35,10 +35,11 @@
     """Requests to one host under one path prefix.
 
     Attributes:
-        max_attempts: most servers to which one client attempt may be sent.
+        max_attempts: maximum number of attempts of a client's request that servers ran or may have
+            run; for items of batch jobs and their scorer calls, of failed attempts.
         timeout_seconds: longest time for which a request is kept open.
         target_latency_seconds: latency that a response should not exceed.
-        rank: priority, 0 is the most urgent.
+        rank: priority of its requests, 0 is the most urgent; a tenant's own rank overrides it.
         resumable: another server may continue a stream.
         result_deadline_seconds: batch routes: time from submission until all results are due.
         max_queue_seconds: batch routes: time from submission until an item may be abandoned.
@@ -75,7 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceDescription:
-    """A service; ``models`` is empty for application services."""
+    """A service.
+
+    Attributes:
+        max_connections: read from the settings, not enforced by this package.
+        models: models that its servers serve; empty for a service that serves no model.
+        slots: slots of each server; read from the settings, not used by this package. The number
+            that a server reports counts, see :attr:`Backend.slots`.
+    """
 
     name: str
     max_connections: int = 0
@@ -85,7 +93,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Limits on the requests of clients."""
+    """Limits on the requests of clients.
+
+    Attributes:
+        max_header_bytes: read from the settings, not enforced by this package.
+        header_timeout_seconds: read from the settings, not enforced by this package.
+    """
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 32 * 1024 * 1024
@@ -112,13 +125,16 @@
 class Backend:
     """One incarnation of a server.
 
+    An engine is a server that loads weight versions of models and runs the items of batch jobs.
+
     Attributes:
         backend_id: the server's id on the platform; a restarted server keeps the id but no state.
         draining: it gets no new work.
         model_versions: weight version of each model that it serves, as last reported.
         start: identifies the incarnation among those with the same id; empty: the server does not
             report it and no restart has been observed.
-        orders_accepted: number of orders accepted since it started; None: not reported.
+        orders_accepted: number of orders to load a weight version that it has accepted since it
+            started; None: not reported.
         unreadable: why its entry can no longer be parsed, in which case it gets no new work;
             empty: the entry is valid.
     """
--- a/src/runkeel/api/jobs.py
+++ b/src/runkeel/api/jobs.py
@@ -30,7 +30,7 @@
     Attributes:
         headers: forwarded to the server.
         body: in base64, as submitted.
-        tokens: prompt tokens plus the maximum of generated tokens.
+        tokens: number of prompt tokens plus the maximum number of tokens to generate.
         group: items of a group share a prompt and are needed together.
         estimated_tokens: the caller's estimate of the tokens to generate, often inaccurate; 0:
             none.
@@ -55,6 +55,7 @@
         submitted_at: seconds since the epoch.
         minimum_version: oldest weight version that may generate its tokens.
         required_groups: number of complete groups that the trainer waits for.
+        step: training step that the job belongs to, as its caller numbers it; 0: not given.
         tenant: tenant that owns the job; empty: none.
     """
 
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobReference:
-    """A job as a caller refers to it; other tenants' jobs count as nonexistent."""
+    """A job id with the calling tenant; a job of another tenant is treated as not found."""
 
     job_id: str
     tenant: str = ""
@@ -85,7 +86,8 @@
     Attributes:
         text: the output, that is the data of all events in order.
         versions: all weight versions that generated events of the output.
-        score: the signature of the scorer's response.
+        score: signature (not a number) of the scorer's server on its response; empty: the output
+            was not scored.
     """
 
     item_id: str
--- a/src/runkeel/gateway/routing.py
+++ b/src/runkeel/gateway/routing.py
@@ -33,7 +33,10 @@
         return None
 
     def rank(self, route: Route, tenant_name: str) -> int:
-        """Return the priority rank of a request; the tenant's rank overrides the route's."""
+        """Return the priority of a request, 0 is the most urgent.
+
+        The tenant's rank overrides the route's.
+        """
         tenants = self.configuration.tenants
         tenant = tenants.of_name(tenant_name) if tenants is not None and tenant_name else None
         return route.rank if tenant is None or tenant.rank is None else tenant.rank
@@ -76,7 +79,7 @@
         return None if self._in_force is None else self._in_force.match(host, path)
 
     def rank(self, route: Route, tenant_name: str) -> int:
-        """Return the priority rank of a tenant's requests on a route."""
+        """Return the priority of a tenant's requests on a route, 0 is the most urgent."""
         return route.rank if self._in_force is None else self._in_force.rank(route, tenant_name)
 
 
--- a/src/runkeel/tenants/directory.py
+++ b/src/runkeel/tenants/directory.py
@@ -13,7 +13,7 @@
     """A tenant of the system.
 
     Attributes:
-        rank: urgency of its requests, 0 the most urgent; None to use the route's rank.
+        rank: priority of its requests, 0 is the most urgent; None: that of the route applies.
         key_digests: digests of its keys, see :mod:`runkeel.tenants.keys`.
     """
 
--- a/src/runkeel/tenants/keys.py
+++ b/src/runkeel/tenants/keys.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 
 _DIGEST_BYTES = 16
-"""128 bits, so that collisions are infeasible to find."""
+"""128 bits, so that a key with a given digest is infeasible to find."""
 
 _SCHEME = "bearer"
 
