--- a/tests/gateway/test_return_time.py
+++ b/tests/gateway/test_return_time.py
@@ -1,6 +1,9 @@
 """Retry-After of requests that found no free slot."""
 
+import time
 import unittest
+from collections import Counter
+from unittest import mock
 
 import gevent
 
@@ -29,6 +32,8 @@
 
 REQUEST = ForwardedRequest("r", "POST", "/p", "h", (), b"")
 DRAWS = 50
+UNREACHED_SECONDS = 3_600.0
+"""Longer than any test takes."""
 
 
 class ReturnTimeTest(unittest.TestCase):
@@ -83,14 +88,19 @@
 class ReturningCallersTest(unittest.TestCase):
     """Callers with a single retry while all servers of their service restart.
 
-    Guards against a Retry-After that expires before the servers are back.
+    Guards against a Retry-After that expires before the servers are back. The steady clock moves
+    only when the test moves it, so a stall of the process changes nothing.
     """
 
     CALLERS = 20
     DOWN_SECONDS = 0.4
 
     def setUp(self):
-        self.up = False
+        self.now = time.clock_gettime(time.CLOCK_BOOTTIME)
+        self.up_at = self.now + self.DOWN_SECONDS
+        patch = mock.patch("time.clock_gettime", self._clock_gettime(time.clock_gettime))
+        patch.start()
+        self.addCleanup(patch.stop)
         self.pools = {name: _Restarting(self) for name in ("a", "b")}
         self.directory = directory_of(**self.pools)
         meter = UsageMeter(5.0, lambda: 1_000.0)
@@ -100,26 +110,31 @@
 
     def served(self, retry_seconds):
         """Return how many callers succeed with their single retry."""
-        counted = []
-
-        def call():
-            error = self.try_once()
-            if error is None:
-                return
+        errors = self.try_all(self.CALLERS)
+        callers_by_wait = Counter()
+        for error in errors:
+            self.assertIsNotNone(error, "a first attempt succeeded while the servers were down")
             self.assertIs(error.verdict, Verdict.NOT_RUN)
-            gevent.sleep(retry_seconds if retry_seconds is not None else error.retry_after_seconds)
-            if self.try_once() is None:
-                counted.append(1)
-
-        callers = [gevent.spawn(call) for _ in range(self.CALLERS)]
-        gevent.sleep(self.DOWN_SECONDS)
-        self.up = True
-        gevent.joinall(callers, raise_error=True)
-        return len(counted)
+            wait = retry_seconds if retry_seconds is not None else error.retry_after_seconds
+            callers_by_wait[wait] += 1
+        started = self.now
+        served = 0
+        for wait, callers in sorted(callers_by_wait.items()):
+            self.now = started + wait
+            served += self.try_all(callers).count(None)
+        return served
+
+    def try_all(self, callers):
+        """Try once for each caller, all at the same time; return their errors, None if served."""
+        tasks = [gevent.spawn(self.try_once) for _ in range(callers)]
+        gevent.joinall(tasks, raise_error=True)
+        return [task.value for task in tasks]
 
     def try_once(self):
+        # The forwarder's waits end by real time, so they are made too long for a stall to end one.
+        route = make_route(target=UNREACHED_SECONDS)
         try:
-            self.forwarder.forward(REQUEST, make_route(), SERVICE, steady_seconds() + 2.0)
+            self.forwarder.forward(REQUEST, route, SERVICE, steady_seconds() + UNREACHED_SECONDS)
         except RunkeelError as error:
             return error
         return None
@@ -130,9 +145,12 @@
     def test_fixed_retry_after_fails_during_a_restart(self):
         self.assertEqual(self.served(0.1), 0)
 
+    def _clock_gettime(self, clock_gettime):
+        return lambda clock: self.now if clock == time.CLOCK_BOOTTIME else clock_gettime(clock)
+
 
 class _Restarting(ScriptedPool):
-    """A server that refuses connections until it is up."""
+    """A server that refuses connections until the test's clock reaches ``up_at``."""
 
     def __init__(self, test):
         super().__init__()
@@ -140,7 +158,7 @@
 
     def _next(self, deadline):
         self.requests += 1
-        if not self.test.up:
+        if self.test.now < self.test.up_at:
             raise unreachable()
         return 200
 
