--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -45,23 +45,26 @@
 """Age since submission from which an ended job is removed from the store.
 
 Must exceed ``HINT_EXPIRY_SECONDS`` of :mod:`runkeel.handoff.hint_service`, so that no storage node
-writes a removed job again.
+that keeps a hint of a removed job writes the job to the store again.
 """
 
 SWEEP_INTERVAL_SECONDS = 10.0
 """Interval between two removals of expired jobs."""
 
 MAX_MEMORY_BYTES = 64 * 1024 * 1024
-"""Total size of items and results above which ended jobs are unloaded."""
+"""Total size of items and results above which ended jobs are unloaded.
+
+An unloaded job's items and results are dropped from memory; reads go to the store.
+"""
 
 TERM_SETTLE_SECONDS = 3.0
-"""Jobs that arrive later than this in a term are assumed not to have run under another term."""
+"""Jobs read later than this in a term are assumed not to have run under another term."""
 
 INITIAL_LOAD_TIMEOUT_SECONDS = 0.6
-"""Longest time that placement waits for stored jobs to load at the start of a term."""
+"""Longest time that scheduling waits for stored jobs to load at the start of a term."""
 
 PARTIAL_OUTPUT_WAIT_SECONDS = 0.4
-"""Time since the start of the term for which placement waits for offered partial outputs."""
+"""Time since the start of the term for which scheduling waits for offered partial outputs."""
 
 _POLL_INTERVAL_SECONDS = 0.02
 
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _AcceptedVersions:
-    """The oldest version that a job accepts, and the newest version when that was recorded."""
+    """The oldest version that a job accepts, and the newest version at the time of recording."""
 
     submitted_at: float
     minimum_version: int
@@ -82,12 +85,14 @@
     """Runs all batch jobs for one term of this node as coordinator.
 
     Args:
+        epoch: number of the term.
         newest_version: returns the newest version of a model, as announced by its trainer.
-        on_superseded: called with the reason when a segment of a later epoch is found.
-        partial_outputs_expected: another node may offer partial outputs of the previous term;
-            placement waits for them, up to :data:`PARTIAL_OUTPUT_WAIT_SECONDS`.
-        previous_term_drain_seconds: given the number of items of all open jobs, returns for how
-            many seconds of the term other nodes may still run items for the previous coordinator.
+        on_superseded: called with the reason when a segment of a later term is found.
+        partial_outputs_expected: whether another node may offer partial outputs of the previous
+            term; scheduling waits for them, up to :data:`PARTIAL_OUTPUT_WAIT_SECONDS`.
+        previous_term_drain_seconds: returns the time since the start of this term, in seconds, for
+            which other nodes may still run items for the previous coordinator; its argument is the
+            number of items of all open jobs.
 
     Attributes:
         loaded: set once the initial load has finished or timed out; :meth:`demand` is valid from
@@ -114,7 +119,8 @@
         self._started_at = steady_seconds()
         self._newest_version = newest_version
         self._recent_item_counts: dict[str, deque[int]] = {}
-        self._latest_accepted: dict[str, _AcceptedVersions] = {}
+        self._latest_job_versions: dict[str, _AcceptedVersions] = {}
+        """By model, the versions that the most recently submitted job accepts."""
         self._scheduler = scheduler
         self._jobs: dict[str, JobState] = {}
         self._ended_ids: set[str] = set()
@@ -139,17 +145,17 @@
         self._scheduler.stop()
 
     def job(self, job_id: str) -> JobState | None:
-        """Return a job if it is loaded and has not been unloaded."""
+        """Return a job; None if it is not loaded, or has been unloaded to save memory."""
         state = self._jobs.get(job_id)
         return None if state is None or state.unloaded else state
 
     def on_accepted(self, job_id: str) -> None:
-        """Handle a report that a job is stored; fetches it if the watch doesn't deliver it."""
+        """Handle a report that a job is in the store; fetches it if the watch misses it."""
         if job_id not in self._jobs and job_id not in self._ended_ids:
             self._spawn(self._fetch, job_id)
 
     def add_handed_over(self, job_id: str, encoded: EncodedJob) -> None:
-        """Run an accepted job that is not stored yet; results are listed once it is."""
+        """Run a job that storage nodes keep; its results are listed once the store has it."""
         if job_id in self._jobs or job_id in self._ended_ids or job_id in self._loading:
             return
         try:
@@ -176,7 +182,7 @@
         state.listing_known = False
         self._jobs[job_id] = self._unconfirmed[job_id] = state
         self._log_loaded(state, ended=False)
-        self._record_demand(state.job)
+        self._record_job_statistics(state.job)
         self._scheduler.add(state)
 
     def end(self, job_id: str) -> None:
@@ -219,7 +225,7 @@
             for state in self._jobs.values()
             if state.job.model == model and not state.ended and not state.complete
         ]
-        latest = self._latest_accepted.get(model)
+        latest = self._latest_job_versions.get(model)
         max_version_lag = (
             0 if latest is None else max(0, latest.newest_version - latest.minimum_version)
         )
@@ -241,12 +247,13 @@
         task.rawlink(self._tasks.discard)
 
     def _load_and_start(self) -> None:
-        """Read ends, then jobs, and start placement afterwards, so that the oldest jobs go first.
+        """Read ends, then jobs, then start the scheduler, so that the oldest jobs go first.
 
-        Placement waits up to :data:`INITIAL_LOAD_TIMEOUT_SECONDS` until the stored jobs are loaded,
-        then for partial outputs if some are expected, and for as long as other nodes may still run
-        items for the previous coordinator.
+        Scheduling waits up to :data:`INITIAL_LOAD_TIMEOUT_SECONDS` until the stored jobs are
+        loaded, then for partial outputs if some are expected, and for as long as other nodes may
+        still run items for the previous coordinator.
         """
+        # Each wait is for the watcher's first list of documents; it has nothing to do with results.
         self._end_watcher.start()
         self._end_watcher.listed.wait()
         self._job_watcher.start()
@@ -275,23 +282,23 @@
             return
         self._load_once(document)
         if document.name in self._ended_ids and document.name not in self._jobs:
-            self._record_ended_job(document)
+            self._record_ended_job_statistics(document)
         # The job's state holds the content; drop the watcher's copy of it.
         self._job_watcher.documents[document.name] = Document(
             document.kind, document.name, document.revision, None
         )
 
-    def _record_ended_job(self, document: Document) -> None:
+    def _record_ended_job_statistics(self, document: Document) -> None:
         """Record the accepted versions and item count of a job that ended before this term."""
         if part_names(document.content):
-            self._spawn(self._read_ended_job, document)
+            self._spawn(self._read_and_record_statistics, document)
         else:
-            self._record_demand(decode_job(document.name, document.content))
+            self._record_job_statistics(decode_job(document.name, document.content))
 
-    def _read_ended_job(self, document: Document) -> None:
+    def _read_and_record_statistics(self, document: Document) -> None:
         job = self._read(document)
         if job is not None:
-            self._record_demand(job)
+            self._record_job_statistics(job)
 
     def _read(self, document: Document) -> BatchJob | None:
         """Return the job of a document, with its parts; None if it has been removed."""
@@ -356,8 +363,9 @@
     def _load(self, document: Document) -> None:
         """Load a job and run its unlisted items.
 
-        Its listed results are read first, and coordinators of earlier terms fenced off, unless the
-        job arrived later in the term than :data:`TERM_SETTLE_SECONDS`.
+        Its listed results are read first, and coordinators of earlier terms are stopped from
+        listing more, unless the term has lasted for more than :data:`TERM_SETTLE_SECONDS` when the
+        job has been read.
         """
         job = self._read(document)
         if job is None:
@@ -372,7 +380,7 @@
         JOBS.labels("loaded").inc()
         ended = document.name in self._ended_ids
         self._log_loaded(state, ended)
-        self._record_demand(state.job)
+        self._record_job_statistics(state.job)
         if ended:
             state.end()
         elif not state.complete:
@@ -396,14 +404,15 @@
             age_ms=int((time.time() - job.submitted_at) * 1000),
         )
 
-    def _record_demand(self, job: BatchJob) -> None:
+    def _record_job_statistics(self, job: BatchJob) -> None:
+        """Record a job's accepted versions and item count, which :meth:`demand` is based on."""
         self._record_item_count(job)
-        known = self._latest_accepted.get(job.model)
+        known = self._latest_job_versions.get(job.model)
         if known is not None and known.submitted_at >= job.submitted_at:
             return
         newest = self._newest_version(job.model)
         if newest:
-            self._latest_accepted[job.model] = _AcceptedVersions(
+            self._latest_job_versions[job.model] = _AcceptedVersions(
                 job.submitted_at, job.minimum_version, newest
             )
 
@@ -420,7 +429,7 @@
     def _has_term_settled(self) -> bool:
         """Return whether the term has lasted for longer than :data:`TERM_SETTLE_SECONDS`.
 
-        Jobs that arrive from then on are assumed not to have run under another term.
+        Jobs that have been read after that are assumed not to have run under another term.
         """
         return steady_seconds() - self._started_at > TERM_SETTLE_SECONDS
 
@@ -454,7 +463,7 @@
                 if old and state.ended:
                     self._remove(job_id, state)
                 elif old and job_id in self._unconfirmed:
-                    # The nodes that held the job until it could be stored have lost it too.
+                    # Its hints on storage nodes have expired, so that none of them can store it.
                     logger.warning("job lost: it was never stored", code="job_lost", job=job_id)
                     self.end(job_id)
                     self._unconfirmed.pop(job_id)
--- a/src/runkeel/jobs/engine_placement.py
+++ b/src/runkeel/jobs/engine_placement.py
@@ -38,8 +38,8 @@
 MAX_CANDIDATES = 32
 """Size of the random sample of engines with a free slot from which one is selected.
 
-All are considered if there are fewer. The sample bounds the time of a choice, at 1 to 2 us per
-engine, whatever the size of the fleet.
+All are considered if there are fewer. The sample bounds the time of a choice, whatever the size of
+the fleet.
 """
 
 MAX_DRAWS = 3
--- a/src/runkeel/jobs/partial_output_journal.py
+++ b/src/runkeel/jobs/partial_output_journal.py
@@ -45,6 +45,7 @@
 """Time after a disk error for which nothing is written."""
 
 _PREFIX = "texts-"
+"""Part of the file format; another prefix would hide the files of earlier processes."""
 _SUFFIX = ".log"
 _RECORD = struct.Struct(">IIQ")
 _COMPRESSION_LEVEL = 1
@@ -92,9 +93,10 @@
         """Write messages; returns once they are synced to disk or the write has failed.
 
         Args:
-            messages: called under the journal's lock with whether a new file starts, in which
-                case it must return all outputs in full. Each message becomes a record; their size
-                should be bounded, as the event loop runs other tasks only between two of them.
+            messages: returns the messages to write. Its argument tells whether a new file starts;
+                if so, it must return all outputs in full. Called under the journal's lock. The size
+                of each message should be bounded, as other greenlets run only between the encoding
+                of two messages.
         """
         with self._lock:
             if steady_seconds() - self._failed_at < RETRY_DELAY_SECONDS:
@@ -146,7 +148,10 @@
         self._paths.append(path)
 
     def _remove_old_files(self) -> None:
-        """Keep the current file and the one before, which is needed if this one is damaged."""
+        """Keep the current file and the one before, which is needed if this one is damaged.
+
+        Also syncs the folder, which makes the entry of the current file durable.
+        """
         while len(self._paths) > MAX_FILES:
             self._paths.pop(0).unlink(missing_ok=True)
         folder = os.open(self._folder, os.O_RDONLY)
@@ -174,19 +179,19 @@
 
 def _encode(message: TextReplication) -> bytes:
     body = zlib.compress(encode(message), _COMPRESSION_LEVEL)
-    clock = int(time.time() * 1000)
-    return _RECORD.pack(len(body), _checksum(body, clock), clock) + body
+    written_at_ms = int(time.time() * 1000)
+    return _RECORD.pack(len(body), _checksum(body, written_at_ms), written_at_ms) + body
 
 
-def _checksum(body: bytes, clock: int) -> int:
-    return zlib.crc32(body, clock & 0xFFFFFFFF)
+def _checksum(body: bytes, written_at_ms: int) -> int:
+    return zlib.crc32(body, written_at_ms & 0xFFFFFFFF)
 
 
 def _read(path: Path) -> list[JournalRecord]:
     now = int(time.time() * 1000)
     return [
-        JournalRecord(message, max(0, now - clock) / 1000.0)
-        for clock, message in _records(path.read_bytes())
+        JournalRecord(message, max(0, now - written_at_ms) / 1000.0)
+        for written_at_ms, message in _records(path.read_bytes())
     ]
 
 
@@ -194,13 +199,13 @@
     """Yield time in ms and message of each record, up to the first damaged one."""
     offset = 0
     while offset + _RECORD.size <= len(data):
-        length, checksum, clock = _RECORD.unpack_from(data, offset)
+        length, checksum, written_at_ms = _RECORD.unpack_from(data, offset)
         offset += _RECORD.size
         body = data[offset : offset + length]
         offset += length
-        if len(body) < length or _checksum(body, clock) != checksum:
+        if len(body) < length or _checksum(body, written_at_ms) != checksum:
             return
         try:
-            yield clock, decode(TextReplication, zlib.decompress(body))
+            yield written_at_ms, decode(TextReplication, zlib.decompress(body))
         except (RunkeelError, zlib.error):
             return
--- a/src/runkeel/jobs/run_mover.py
+++ b/src/runkeel/jobs/run_mover.py
@@ -21,16 +21,19 @@
 from runkeel.jobs.length_estimates import LengthEstimates
 
 MIN_SECONDS_BEFORE_MOVE = 0.6
-"""Shortest time on an engine, since the first event, before an item is moved."""
+"""Shortest time on an engine, since the first event, before an item is moved from a slow engine."""
 
 MIN_GAIN_SECONDS = 0.5
 """Least expected time saved for which an item is moved from a slower engine."""
 
 MIN_GAIN_FROM_STALLED_SECONDS = 0.15
-"""The same for an engine at MAX_SLOWDOWN, whose actual slowdown may be far greater."""
+"""Least expected time saved for which an item is moved from an engine at MAX_SLOWDOWN.
 
-MAX_MOVES_PER_CHECK = 32
-"""Items considered for a move in each check, the longest first."""
+Lower, because the actual slowdown of such an engine may be far greater.
+"""
+
+MAX_ITEMS_PER_CHECK = 32
+"""Maximum number of items considered for a move in each check; the longest come first."""
 
 LOAD_STALL_SECONDS = 1.0
 """Expected pause of an engine's runs while it loads a version."""
@@ -64,7 +67,7 @@
         return self._lengths.remaining_events(task.item.estimated_tokens, len(task.partial.pieces))
 
     def relative_length(self, task: ItemTask) -> float:
-        """Return the expected remaining length as a multiple of a typical generation."""
+        """Return the expected remaining length as a multiple of a typical length."""
         return self._lengths.relative_length(task.item.estimated_tokens, len(task.partial.pieces))
 
     def move_from_slow_engines(self, tasks: Iterable[ItemTask]) -> None:
@@ -74,14 +77,14 @@
         self._placement.observe(
             RunSample(task.engine.incarnation, id(task.run), task.run.events) for task in generating
         )
-        settled = [
+        candidates = [
             task
             for task in generating
             if now - task.run.first_event_at >= MIN_SECONDS_BEFORE_MOVE
             and task.reserved_engine is None
             and self._max_seconds_gained(task) >= self._min_gain_seconds(task)
         ]
-        longest = heapq.nlargest(MAX_MOVES_PER_CHECK, settled, key=self.remaining_events)
+        longest = heapq.nlargest(MAX_ITEMS_PER_CHECK, candidates, key=self.remaining_events)
         for task in longest:
             other = self._other_engine(task)
             if other is None:
@@ -98,15 +101,15 @@
             if task.run is not None and task.run.events and task.reserved_engine is None
         ]
         for task in sorted(movable, key=self.remaining_events, reverse=True):
-            remaining = self.remaining_events(task)
-            left = remaining * self._placement.seconds_per_event(task.engine)
-            if left < MIN_REMAINING_BEFORE_LOAD_SECONDS:
+            events_left = self.remaining_events(task)
+            seconds_left = events_left * self._placement.seconds_per_event(task.engine)
+            if seconds_left < MIN_REMAINING_BEFORE_LOAD_SECONDS:
                 return
             other = self._other_engine(task)
             if other is None:
                 return
             gain = LOAD_STALL_SECONDS
-            gain += self._placement.seconds_gained(task.engine, other, remaining)
+            gain += self._placement.seconds_gained(task.engine, other, events_left)
             if gain >= MIN_GAIN_BEFORE_LOAD_SECONDS:
                 self._move(task, other, "engine loads a version", gain)
 
@@ -116,8 +119,8 @@
 
     def _max_seconds_gained(self, task: ItemTask) -> float:
         """Return the seconds saved if the item were moved to the fastest engine."""
-        remaining = self.remaining_events(task)
-        return self._placement.max_seconds_gained(task.engine, remaining)
+        events_left = self.remaining_events(task)
+        return self._placement.max_seconds_gained(task.engine, events_left)
 
     def _other_engine(self, task: ItemTask) -> BackendState | None:
         route = self._route_of(task)
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -41,10 +41,7 @@
 """Delay before an item is retried; keeps it from spinning between engines that refuse it."""
 
 STARTS_PER_YIELD = 64
-"""Items started before the scheduling pass yields to other greenlets.
-
-A start takes about 0.3 ms, so event loop lag stays below 20 ms.
-"""
+"""Items started before the scheduling pass yields to other greenlets. Bounds the event loop lag."""
 
 UNKNOWN_ITEM_GRACE_SECONDS = 3.0
 """Partial outputs of unknown items are accepted until the scheduler is this old.
@@ -64,7 +61,7 @@
 MIN_EVENTS_AHEAD = 8
 """A run is aborted in favour of another partial output that is at least this many events ahead.
 
-Well above the cost of resuming at an engine, which is about two events.
+Well above the cost of resuming at an engine.
 """
 
 BACKLOG_HOLD_SECONDS = 20.0
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -154,7 +154,7 @@
             return HintOutcome.REFUSED
         outcome = self._hints.send_hints(job.job_id, submission.encoded)
         if outcome is HintOutcome.ACCEPTED:
-            _log_accepted(job, by="storage nodes")
+            _log_accepted(job, by="storage machines")
         return outcome
 
     def read(self, job: JobReference, position: int, wait_seconds: float) -> ResultPage | None:
--- a/tests/jobs/test_coordinator.py
+++ b/tests/jobs/test_coordinator.py
@@ -47,7 +47,7 @@
 
 
 class RecordingScheduler(IdleScheduler):
-    """Records the order of the calls that add jobs and start placement."""
+    """Records the order of the calls that add jobs and start the scheduler."""
 
     def __init__(self):
         self.events = []
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -51,15 +51,15 @@
     return RoutingConfiguration(1, (route,), {SERVICE: ServiceDescription(SERVICE)})
 
 
-class RefusingProtocol:
+class UnusedProtocol:
     """Fails if a request is encoded."""
 
     def encode_generation(self, request, backend, remaining):
         raise AssertionError("not reached: the greenlet is killed before it begins")
 
 
-class UnreachedProtocol:
-    """Sends requests to an address without a listener."""
+class EncodingProtocol:
+    """Encodes requests, which then fail because the engine's address has no listener."""
 
     def encode_generation(self, request, backend, remaining):
         return OutgoingRequest("POST", request.path, [], request.body)
@@ -81,7 +81,7 @@
         self.scheduler = Scheduler(
             self.placement,
             self.routing,
-            RefusingProtocol(),
+            UnusedProtocol(),
             None,
             lambda *key: False,
             open_quarantine(),
@@ -106,7 +106,7 @@
     def test_engine_that_refuses_connections_is_avoided_for_longer_than_a_full_one(self):
         """Guards against retrying items on dead engines as often as on full ones."""
         self.routing.apply(make_configuration())
-        self._use_protocol(UnreachedProtocol())
+        self._use_protocol(EncodingProtocol())
         self.scheduler.start()
         self.scheduler.add(self.state)
         engine = self.directory.get("e")
@@ -174,7 +174,7 @@
         self.scheduler.add(self.state)
         self.assertEqual(list(self.scheduler.open_outputs()), [f"{JOB_ID}-1"])
 
-    def test_output_of_an_unknown_item_is_accepted_only_after_the_start(self):
+    def test_output_of_an_unknown_item_is_accepted_only_for_a_while_after_the_start(self):
         self.assertTrue(self.scheduler.needs_output("other", (1, 2)))
         self.scheduler._created_at -= UNKNOWN_ITEM_GRACE_SECONDS
         self.assertFalse(self.scheduler.needs_output("other", (1, 2)))
@@ -234,7 +234,7 @@
         self.scheduler._place_all()
         self.assertEqual(self.placement.slots_in_use("e"), 0)
 
-    def test_output_of_an_ended_job_is_resumed_by_the_next_one(self):
+    def test_output_of_a_dropped_job_is_resumed_when_the_job_is_added_again(self):
         self.scheduler.add(self.state)
         task = self.scheduler._queue.tasks()[0]
         output = task.partial
