--- a/src/runkeel/handoff/hint_service.py
+++ b/src/runkeel/handoff/hint_service.py
@@ -39,7 +39,7 @@
 """Timeout of writing a job to the store."""
 
 HANDOFF_INTERVAL_SECONDS = 0.3
-"""Maximum pause between attempts to write the hinted jobs to the store."""
+"""Maximum pause between attempts to write the hinted jobs to a store that responds."""
 
 HINT_EXPIRY_SECONDS = 120.0
 """Age of a job, since its submission, at which its hint is dropped.
@@ -52,7 +52,7 @@
 """Time for which a node with a new disk replies to lookups that its history is incomplete.
 
 Afterwards, all hints that it may have lost with the previous disk have expired, so that a lookup
-that finds no hint shows that the node keeps none.
+that finds no hint shows that this node has not lost one either.
 """
 
 MAX_TOTAL_HINT_BYTES = 64 * 1024 * 1024
@@ -63,6 +63,7 @@
     """Accepts and hands off hints; a node without a disk accepts none.
 
     Args:
+        shard: name of the fleet, as in the messages between its nodes; not used here.
         log: hints on the node's disk; None if it has no disk.
         on_hint: called with the id and the encoded job of each hint that this node accepts.
         first_start: whether the whole deployment starts for the first time, so that no earlier
@@ -83,10 +84,11 @@
         self._hint_log = log
         self._on_hint = on_hint
         self._hints: dict[str, str] = {}
-        self._history_complete = log is None or first_start
+        self._knows_all_hints = log is None or first_start
         """Whether this node has every unexpired hint that it ever accepted.
 
-        A new disk may have replaced one with hints. A node without a disk accepts none.
+        False until the hints on disk are loaded; for longer on a new disk, as the previous disk may
+        have held hints. A node without a disk accepts none.
         """
         self._history_task: gevent.Greenlet | None = None
         self._has_hints = Event()
@@ -129,7 +131,7 @@
         On a new disk, waits until any hints that were lost with the previous one have expired.
         """
         if not self._hint_log.history_complete:
-            if not self._history_complete:
+            if not self._knows_all_hints:
                 logger.warning(
                     "hint disk is new; earlier hints are unknown until they expire",
                     code="hints_forgotten",
@@ -137,7 +139,7 @@
                 )
                 gevent.sleep(NEW_DISK_WAIT_SECONDS)
             self._hint_log.mark_history_complete()
-        self._history_complete = True
+        self._knows_all_hints = True
 
     def _handle_hint(self, peer: str, message: JobHint) -> tuple[int, JobHintReply]:
         state = self._accept(peer, message)
@@ -146,7 +148,7 @@
 
     def _handle_lookup(self, peer: str, message: JobHintLookup) -> tuple[int, JobHintLookupReply]:
         return MessageType.JOB_HINT_LOOKUP_REPLY, JobHintLookupReply(
-            message.job_id in self._hints, self._history_complete
+            message.job_id in self._hints, self._knows_all_hints
         )
 
     def _accept(self, peer: str, message: JobHint) -> int:
@@ -188,8 +190,8 @@
         """Write a job to the store.
 
         Returns:
-            True if the store has the job, or may have it after a conflict; False if another tenant
-            uses its id; None if the store failed.
+            True if the store has the job; also after a conflict with a document whose content is
+            unknown. False if another tenant uses its id; None if the store failed.
         """
         try:
             JobSubmission(self._store, job_id, encoded).write(STORE_TIMEOUT_SECONDS)
@@ -197,7 +199,7 @@
             return may_belong_to_tenant(conflict.current, job_tenant(encoded.content))
         except RunkeelError as error:
             logger.info(
-                "writing hinted job to the store failed",
+                "writing job to the store failed",
                 code="job_hint_delayed",
                 job=job_id,
                 error=str(error.code),
--- a/src/runkeel/quarantine/crash_detector.py
+++ b/src/runkeel/quarantine/crash_detector.py
@@ -21,7 +21,7 @@
 from runkeel.gateway.backends import BackendState
 
 PROBE_TIMEOUT_SECONDS = 0.1
-"""Connect time-out when probing a server that may have crashed; retries wait for the probe."""
+"""Connect timeout when probing a server that may have crashed; retries wait for the probe."""
 
 UNEXPLAINED_LOSS_SECONDS = 10.0
 """How long a lost connection waits for later evidence about its server.
--- a/src/runkeel/quarantine/gossip.py
+++ b/src/runkeel/quarantine/gossip.py
@@ -22,7 +22,7 @@
 from runkeel.wire.network import PeerNetwork
 
 CALL_TIMEOUT_SECONDS = 0.5
-"""Time-out of a call to another node."""
+"""Timeout of a call to another node."""
 
 RETRY_DELAY_SECONDS = 0.2
 """Delay before an update that a neighbour did not acknowledge is sent again."""
--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -1,4 +1,4 @@
-"""Connects a node's quarantine to gossip, trials and the document store."""
+"""Runs this node's quarantine of requests that crash servers."""
 
 from __future__ import annotations
 
@@ -24,27 +24,29 @@
 from runkeel.wire.network import PeerNetwork
 
 TRIAL_CALL_TIMEOUT_SECONDS = 0.3
-"""Time-out of a call that asks the coordinator for a trial."""
+"""Timeout of a call that asks the coordinator for a trial."""
 
 CATCH_UP_TIMEOUT_SECONDS = 1.5
-"""A starting node that has known routes and servers for this long serves requests even if it has
-not received the crash records. They normally arrive within milliseconds after the routes.
+"""Maximum time for which a starting node that has routes and servers waits for the crash records.
+
+It then serves requests without them.
 """
 
 CATCH_UP_POLL_SECONDS = 0.02
 """Polling interval while catching up."""
 
 CATCH_UP_CALL_TIMEOUT_SECONDS = 0.5
-"""Time-out of reading the store while catching up."""
+"""Timeout of reading the store while catching up."""
 
 CATCH_UP_BACKOFF_SECONDS = (0.05, 1.0)
 """Initial and maximum delay between attempts to catch up; the delay doubles."""
 
 
 class QuarantineService:
-    """One node's quarantine.
+    """The quarantine, with the exchange of its crash records with the other nodes and the store.
 
     Args:
+        shard: name of the stored document with the crash records; also sent in messages.
         secret: fingerprint key shared by the cluster's nodes.
         coordinator: returns the coordinator, or None if that is this node or unknown.
         neighbours: returns the nodes that this node sends updates to.
@@ -129,9 +131,15 @@
     def _mark_crashed_servers(
         self, record: CrashRecord, before: CrashRecord | None, source: str
     ) -> None:
-        """Stop sending to crashed servers, whose entries expire only some seconds later."""
-        known = before.ended if before is not None else frozenset()
-        for incarnation in record.ended - known:
+        """Stop sending to crashed servers, whose entries expire only some seconds later.
+
+        Args:
+            record: the changed record; its ``ended`` holds the servers that crashed.
+            before: the record before the change; None if there was none.
+            source: node that sent the change, empty if it is this one; not used here.
+        """
+        already_recorded = before.ended if before is not None else frozenset()
+        for incarnation in record.ended - already_recorded:
             state = self._directory.find(incarnation)
             if state is not None:
                 state.mark_ended()
@@ -141,13 +149,13 @@
         started = steady_seconds()
         sources = (self._read_store, self._query_coordinator)
         queries = [gevent.spawn(self._retry, query) for query in sources]
-        routes_unknown_at = started
+        routes_last_unknown_at = started
         try:
             while not (done := [one for one in queries if one.ready()]):
                 now = steady_seconds()
                 if not self._knows_routes_and_servers():
-                    routes_unknown_at = now
-                elif now - routes_unknown_at >= CATCH_UP_TIMEOUT_SECONDS:
+                    routes_last_unknown_at = now
+                elif now - routes_last_unknown_at >= CATCH_UP_TIMEOUT_SECONDS:
                     self.caught_up.set()
                 gevent.sleep(CATCH_UP_POLL_SECONDS)
         finally:
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -254,12 +254,12 @@
     def test_history_of_a_new_disk_completes_after_earlier_hints_expired(self):
         with mock.patch.object(hint_service, "NEW_DISK_WAIT_SECONDS", 0.05):
             service = self.start_node("k1")
-            self.assertFalse(service._history_complete)
+            self.assertFalse(service._knows_all_hints)
             self.assertTrue(self.history_completes(service))
             self.wait(lambda: HintLog(self.folder / "k1").history_complete)
 
     def history_completes(self, service):
-        self.wait(lambda: service._history_complete)
+        self.wait(lambda: service._knows_all_hints)
         return True
 
     def test_client_with_incomplete_node_list_denies_no_jobs(self):
