--- a/src/runkeel/operators/diagnostics.py
+++ b/src/runkeel/operators/diagnostics.py
@@ -15,12 +15,12 @@
 
 
 def bad_command(
-    text: str, column: int, problem: str, word: str = "", candidates: Iterable[str] = ()
+    text: str, position: int, problem: str, word: str = "", candidates: Iterable[str] = ()
 ) -> RunkeelError:
-    """Build a BAD_COMMAND error that shows the text with a caret under the column.
+    """Build a BAD_COMMAND error that shows the text with a caret under the position.
 
     Args:
-        column: column of the offending word, from 0.
+        position: position of the offending word in the text, from 0.
         word: the offending word; empty if the problem is not a single word.
         candidates: words that are valid at that position.
     """
@@ -31,7 +31,7 @@
         hint = f'; did you mean "{suggestion}"?'
     elif candidates:
         hint = f"; expected one of: {', '.join(candidates)}"
-    caret = " " * column + "^" * max(1, len(word))
+    caret = " " * position + "^" * max(1, len(word))
     line = text.replace("\n", " ").replace("\t", " ")
-    detail = f"column {column + 1}: {problem}{hint}\n  {line}\n  {caret}"
+    detail = f"column {position + 1}: {problem}{hint}\n  {line}\n  {caret}"
     return not_run(ErrorCode.BAD_COMMAND, detail)
--- a/src/runkeel/operators/language.py
+++ b/src/runkeel/operators/language.py
@@ -71,9 +71,9 @@
     except UnexpectedToken as error:
         raise _unexpected_token_error(text, error.token, error.accepts or error.expected) from error
     except UnexpectedCharacters as error:
-        column = error.pos_in_stream
-        word = text[column:].split(maxsplit=1)[0] if text[column:].strip() else ""
-        raise bad_command(text, column, f"unexpected {word!r}") from error
+        position = error.pos_in_stream
+        word = text[position:].split(maxsplit=1)[0] if text[position:].strip() else ""
+        raise bad_command(text, position, f"unexpected {word!r}") from error
     except UnexpectedEOF as error:
         raise bad_command(text, len(text), "unexpected end") from error
     return _StatementBuilder(text).build(tree.children[0])
@@ -153,7 +153,7 @@
 
     def _show_rollout(self, children: list) -> ShowQuery:
         model = _value(children[0])
-        condition = Condition(Word("model", model.column), Comparison.EQUAL, model)
+        condition = Condition(Word("model", model.position), Comparison.EQUAL, model)
         return ShowQuery(Word("rollouts", 0), (condition,))
 
     def _show_command(self, children: list) -> ShowCommand:
@@ -215,7 +215,7 @@
         kind = CHANGEABLE_KINDS.get(word.text)
         if kind is None:
             problem = f"unknown kind {word.text!r}"
-            raise bad_command(self._text, word.column, problem, word.text, CHANGEABLE_KINDS)
+            raise bad_command(self._text, word.position, problem, word.text, CHANGEABLE_KINDS)
         return kind
 
     def _assignment(self, kind: ObjectKind, tree: Tree) -> tuple[str, Scalar]:
--- a/src/runkeel/operators/local_queries.py
+++ b/src/runkeel/operators/local_queries.py
@@ -57,7 +57,7 @@
     if source is None:
         word = query.resource
         problem = f"unknown resource {word.text!r}"
-        raise bad_command(text, word.column, problem, word.text, sources.names())
+        raise bad_command(text, word.position, problem, word.text, sources.names())
     check_columns(text, query, source)
     return source
 
--- a/src/runkeel/operators/selection.py
+++ b/src/runkeel/operators/selection.py
@@ -22,7 +22,7 @@
 }
 
 
-def check_columns(text: str, query: ShowQuery, source: QuerySource) -> None:
+def check_columns(statement: str, query: ShowQuery, source: QuerySource) -> None:
     """Check that the table has all columns that a query names.
 
     Raises:
@@ -34,7 +34,7 @@
     for word in words:
         if word.text not in source.columns:
             problem = f"{source.name} has no field {word.text!r}"
-            raise bad_command(text, word.column, problem, word.text, source.columns)
+            raise bad_command(statement, word.position, problem, word.text, source.columns)
 
 
 def select(query: ShowQuery, columns: tuple[str, ...], rows: list[Row]) -> list[Row]:
@@ -61,7 +61,11 @@
 
 
 def _matches(value: Scalar, condition: Condition) -> bool:
-    """Return whether a value meets a condition; null equals only the word ``null``."""
+    """Return whether a value meets a condition.
+
+    A null cell equals the word ``null``, and no other cell does; null is neither less nor greater
+    than anything.
+    """
     text = condition.value.text
     if condition.comparison is Comparison.CONTAINS:
         return text in _to_text(value)
--- a/src/runkeel/operators/statements.py
+++ b/src/runkeel/operators/statements.py
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """A word of the text and the column, from 0, at which it begins."""
+    """A word of a statement and the position in the statement, from 0, at which it begins."""
 
     text: str
-    column: int
+    position: int
 
 
 class Comparison(enum.StrEnum):
--- a/src/runkeel/operators/values.py
+++ b/src/runkeel/operators/values.py
@@ -45,7 +45,7 @@
             candidate = prefix + word.text + suffix
             if candidate in known:
                 return candidate
-    raise bad_command(text, word.column, f"{kind} has no field {word.text!r}", word.text, known)
+    raise bad_command(text, word.position, f"{kind} has no field {word.text!r}", word.text, known)
 
 
 def convert_value(text: str, kind: ObjectKind, field_name: str, word: Word) -> Scalar:
@@ -65,7 +65,7 @@
     if choices:
         check_choice(text, field_name, word, choices)
     if isinstance(annotation, types.GenericAlias) or typing.get_origin(annotation) is tuple:
-        raise bad_command(text, word.column, f"{field_name} is a list that the system manages")
+        raise bad_command(text, word.position, f"{field_name} is a list that the system manages")
     return word.text
 
 
@@ -77,7 +77,7 @@
     """
     if word.text not in choices:
         problem = f"unknown {label} {word.text!r}"
-        raise bad_command(text, word.column, problem, word.text, choices)
+        raise bad_command(text, word.position, problem, word.text, choices)
 
 
 def parse_whole_number(text: str, word: Word, label: str) -> int:
@@ -87,7 +87,7 @@
         RunkeelError: BAD_COMMAND.
     """
     if not (word.text.isascii() and word.text.isdigit()):
-        raise bad_command(text, word.column, f"{label} must be a whole number, not {word.text!r}")
+        raise bad_command(text, word.position, f"{label} must be a whole number, not {word.text!r}")
     return int(word.text)
 
 
@@ -112,7 +112,7 @@
     value = _BOOLEANS.get(word.text.lower())
     if value is None:
         raise bad_command(
-            text, word.column, f"{word.text!r} is neither true nor false", word.text, _BOOLEANS
+            text, word.position, f"{word.text!r} is neither true nor false", word.text, _BOOLEANS
         )
     return value
 
@@ -120,12 +120,12 @@
 def _parse_number(text: str, field_name: str, number_type: type, word: Word) -> int | float:
     match = _NUMBER.fullmatch(word.text)
     if match is None:
-        raise bad_command(text, word.column, f"{field_name} must be a number, not {word.text!r}")
+        raise bad_command(text, word.position, f"{field_name} must be a number, not {word.text!r}")
     number = float(match[1]) * _unit_factor(text, field_name, match[2].lower(), word)
     if number_type is float:
         return number
     if not number.is_integer():
-        raise bad_command(text, word.column, f"{field_name} must be a whole number")
+        raise bad_command(text, word.position, f"{field_name} must be a whole number")
     return int(number)
 
 
@@ -140,7 +140,7 @@
         return _MILLISECONDS_PER_UNIT[unit] / 1_000
     allowed = _allowed_units(field_name)
     problem = f"{field_name} takes no unit {unit!r} ({allowed})"
-    raise bad_command(text, word.column, problem, word.text)
+    raise bad_command(text, word.position, problem, word.text)
 
 
 def _is_fraction(field_name: str) -> bool:
--- a/src/runkeel/runners/service.py
+++ b/src/runkeel/runners/service.py
@@ -2,7 +2,7 @@
 
 An invited node sends progress messages until the coordinator releases it. Its runs depend on a
 lease that each reply renews, see :mod:`runkeel.runners.lease`. When a lease expires, a new session
-begins, so that a start that was sent before and arrives late is refused.
+begins, so that a start message that was sent in the previous session and arrives late is refused.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 from runkeel.wire.network import PeerNetwork
 
 MAX_REFUSED_RUNS = 4_000
-"""Maximum number of unwanted run ids that are remembered to refuse starts that arrive late."""
+"""Maximum number of ids of unwanted runs that are remembered, to refuse starts that arrive late."""
 
 _SESSION_BYTES = 8
 _MIN_PROGRESS_INTERVAL_SECONDS = 0.03
@@ -57,7 +57,8 @@
     Args:
         known_epoch: returns the latest epoch that this node knows.
         on_coordinator: called with the address and epoch of a coordinator that invites this node.
-        keep_output: called with the epoch, item id and output of a run that has ended here.
+        keep_output: called with the epoch, item id and output of a run that has ended here, unless
+            the run resumed another one or has no output.
         loop_lag_seconds: returns this process's event loop lag.
     """
 
@@ -251,7 +252,8 @@
             if self._lease_expired():
                 self._end_runs("lease expired without a reply from the coordinator")
                 self._session = _new_session()
-                # Progress messages continue, so that the coordinator can assign new runs.
+                # The new session starts with a full lease; progress messages continue, so that the
+                # coordinator can assign new runs.
                 self._renewed_at = steady_seconds()
 
     def _wait_for_update(self) -> None:
--- a/src/runkeel/usage/usage_aggregator.py
+++ b/src/runkeel/usage/usage_aggregator.py
@@ -18,21 +18,23 @@
 from runkeel.usage.ledger import UsageLedger, WindowSummary
 from runkeel.wire.generated.jobs.ttypes import UsageCounts, UsageCountsReply
 
-MIN_CHECKPOINT_INTERVAL_SECONDS = 0.5
+MIN_WRITE_INTERVAL_SECONDS = 0.5
 """Minimum time between a write of the ledger and the next write of new counts.
 
 Decisions are written immediately. Counts not written yet are lost only if both their node and the
 coordinator crash.
 """
 
-CHECKPOINT_BYTES_PER_SECOND = 200_000
+MAX_WRITE_BYTES_PER_SECOND = 200_000
 """Maximum write rate; a large ledger is written less often, to limit load on link and store."""
 
 DECISION_DEADLINE_FRACTION = 0.5
-"""Fraction of the allowed report delay after which a window is decided even if incomplete.
+"""Fraction of ``late_seconds`` after which an ended window is decided even if incomplete.
 
-Partitioned nodes have until then to send their counts. The rest is reserved for a new coordinator,
-which may have to wait until its predecessor's lease expires.
+A window is *decided* when its counts are fixed for the report, which is due ``late_seconds`` after
+the window's end. Partitioned nodes have until the decision to send their counts. The rest of the
+time is reserved for a new coordinator, which may have to wait until its predecessor's lease
+expires.
 """
 
 MIN_DECISION_DELAY_SECONDS = 0.3
@@ -42,13 +44,13 @@
 """
 
 ACTIVE_SOURCE_WINDOWS = 3
-"""Before its deadline, a window is decided only if all active sources have completed it.
+"""Number of windows for which a source stays active after it last sent counts.
 
-A source is active if it sent counts within this many windows before the end of the window.
+Before its deadline, a window is decided only if all sources active at its end have completed it.
 """
 
 REPORT_TIMEOUT_SECONDS = 1.0
-"""Time-out of a report to the platform."""
+"""Timeout of a report to the platform."""
 
 REPORT_RETRY_DELAY_SECONDS = 0.3
 """Delay before a failed report is retried, to limit the rate of calls to the platform."""
@@ -64,7 +66,11 @@
 
 @dataclass(slots=True)
 class _Source:
-    """A node's process that sends counts; times in seconds since the Unix epoch."""
+    """A node's process that sends counts; times in seconds since the Unix epoch.
+
+    Attributes:
+        complete_before: its counts of earlier times are complete.
+    """
 
     last_update_at: float
     complete_before: float
@@ -79,8 +85,9 @@
 
     Args:
         name: name of the ledger's document.
-        epoch: the term.
-        lease: ensures that only one node at a time reports usage to the platform.
+        epoch: number of this node's term as coordinator.
+        lease: shared with the orders to engines; reports count as orders, so that only one node at
+            a time sends them.
         holder: name of this node in calls to the platform.
         clock: returns the seconds since the Unix epoch.
         nodes: returns the approximate number of nodes.
@@ -178,9 +185,7 @@
                 self._write()
 
     def _write_allowed(self) -> bool:
-        pause = max(
-            MIN_CHECKPOINT_INTERVAL_SECONDS, self._written_bytes / CHECKPOINT_BYTES_PER_SECOND
-        )
+        pause = max(MIN_WRITE_INTERVAL_SECONDS, self._written_bytes / MAX_WRITE_BYTES_PER_SECOND)
         return steady_seconds() - self._written_at >= pause
 
     def _load(self) -> None:
@@ -196,7 +201,7 @@
                 break
             except RunkeelError as error:
                 logger.info(
-                    "usage ledger not read yet", code="usage_delayed", error=str(error.code)
+                    "usage ledger not loaded yet", code="usage_delayed", error=str(error.code)
                 )
                 gevent.sleep(STORE_RETRY_DELAY_SECONDS)
         self._write()
--- a/src/runkeel/usage/usage_reporter.py
+++ b/src/runkeel/usage/usage_reporter.py
@@ -20,7 +20,7 @@
 """Delay between a change and sending it; unsent counts are lost if the node crashes."""
 
 CALL_TIMEOUT_SECONDS = 0.6
-"""Time-out of a call to the coordinator."""
+"""Timeout of a call to the coordinator."""
 
 RETRY_DELAY_SECONDS = 0.25
 """Delay before counts that the coordinator did not accept are sent again."""
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -245,6 +245,7 @@
     def test_no_runner_is_used_while_the_coordinator_runs_all_items_itself(self):
         self.pool.stop()
         idle = self._pool(1)
+        # No demand recently; the steady clock is never negative.
         idle._last_demand_at = -lease.DEMAND_RETENTION_SECONDS
         idle._runners.clear()
         self.assertFalse(idle.needs_runners)
@@ -256,6 +257,7 @@
 
     def test_idle_runners_are_released_when_they_are_no_longer_needed(self):
         _, task = self._begin()
+        # No demand recently; the steady clock is never negative.
         self.pool._last_demand_at = -lease.DEMAND_RETENTION_SECONDS
         gevent.sleep(3 * lease.HEARTBEAT_SECONDS * SCALE)
         self.assertEqual(len(self.pool._runners), 1)
