--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -137,7 +137,7 @@
 class BackendProtocol(Protocol):
     """Encodes requests to backends and parses their responses; does no I/O."""
 
-    def encode_plain(
+    def encode_forwarded_request(
         self, request: ForwardedRequest, backend: Backend, remaining_seconds: float
     ) -> OutgoingRequest:
         """Build the request that forwards a client's request."""
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -286,7 +286,7 @@
             return response_classes[-1] is not ResponseClass.FOREIGN
 
         try:
-            outgoing = self._protocol.encode_plain(request, state.backend, remaining)
+            outgoing = self._protocol.encode_forwarded_request(request, state.backend, remaining)
             response = state.pool.request(outgoing, forwarded.deadline, accept=accept)
         except RunkeelError as error:
             forwarded.watched.record_failure(state, error)
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -197,7 +197,7 @@
         """
         remaining = client_stream.deadline - steady_seconds()
         request = replace(client_stream.request, resume_after=client_stream.last_event_id)
-        outgoing = self._protocol.encode_plain(request, state.backend, remaining)
+        outgoing = self._protocol.encode_forwarded_request(request, state.backend, remaining)
         state.in_flight += 1
         stream: HttpResponseStream | None = None
         disconnect_watcher = gevent.spawn(
--- a/tests/gateway/scripted_servers.py
+++ b/tests/gateway/scripted_servers.py
@@ -26,7 +26,7 @@
     def __init__(self):
         self.resumed_after = []
 
-    def encode_plain(self, request, backend, remaining_seconds):
+    def encode_forwarded_request(self, request, backend, remaining_seconds):
         self.resumed_after.append(request.resume_after)
         return OutgoingRequest(request.method, request.target, [], request.body)
 
--- a/tests/users_platform/test_adapter.py
+++ b/tests/users_platform/test_adapter.py
@@ -179,14 +179,16 @@
         self.assertEqual(forwarded_headers(headers), [("X-Own", "kept")])
 
     def test_deadline_and_instance_are_set(self):
-        outgoing = self.protocol.encode_plain(self._plain(("Deadline-Ms", "900")), BACKEND, 0.25)
+        outgoing = self.protocol.encode_forwarded_request(
+            self._plain(("Deadline-Ms", "900")), BACKEND, 0.25
+        )
         self.assertIn(("Deadline-Ms", "250"), outgoing.headers)
         self.assertIn(("Expect-Instance", "i-1"), outgoing.headers)
         self.assertEqual((outgoing.host, outgoing.target), ("h.example", "/p?q=1"))
 
     def test_stream_is_resumed_after_the_last_event(self):
         request = self._plain(("Last-Event-Id", "2"), resume_after="5", urgency=3)
-        headers = self.protocol.encode_plain(request, BACKEND, 1.0).headers
+        headers = self.protocol.encode_forwarded_request(request, BACKEND, 1.0).headers
         self.assertEqual([value for name, value in headers if name == "Last-Event-Id"], ["5"])
         self.assertIn(("Priority-Class", "3"), headers)
 
