--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -122,7 +122,9 @@
             RunkeelError: with verdict NOT_RUN only if no server ran the request.
         """
         watched = self._quarantine.watch(
-            lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
+            lambda: self._quarantine.fingerprinter.of_forwarded_request(request),
+            service,
+            request.request_id,
         )
         forwarded = _InFlightRequest(request, watched, route, service, deadline, steady_seconds())
         disconnect_watcher = (
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -109,7 +109,9 @@
             RunkeelError: with verdict NOT_RUN only if no server ran the request.
         """
         watched = self._quarantine.watch(
-            lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
+            lambda: self._quarantine.fingerprinter.of_forwarded_request(request),
+            service,
+            request.request_id,
         )
         client_stream = _ClientStream(request, watched, route, service, deadline, disconnected)
         client_stream.last_event_id = request.resume_after
--- a/src/runkeel/quarantine/fingerprint.py
+++ b/src/runkeel/quarantine/fingerprint.py
@@ -26,7 +26,7 @@
     def __init__(self, secret: bytes) -> None:
         self._key = hashlib.blake2b(secret).digest()
 
-    def of_plain(self, request: ForwardedRequest) -> str:
+    def of_forwarded_request(self, request: ForwardedRequest) -> str:
         """Return the fingerprint of a client request or scorer call."""
         return self._digest(
             request.tenant, request.method, request.host, request.target, request.body
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -93,7 +93,7 @@
     request = ForwardedRequest("r", "POST", "/count/x", "host", (), _BODY, tenant="tenant")
 
     def check_quarantine() -> None:
-        identify = partial(quarantine.fingerprinter.of_plain, request)
+        identify = partial(quarantine.fingerprinter.of_forwarded_request, request)
         _ = quarantine.watch(identify, _SERVICE, request.request_id).quarantined
 
     costs = []
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -65,7 +65,7 @@
         return caught.exception
 
     def quarantine_request(self):
-        fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
+        fingerprint = self.quarantine.fingerprinter.of_forwarded_request(REQUEST)
         for name in ("x", "y", "z"):
             self.ledger.record_crash(fingerprint, SERVICE, name)
         return fingerprint
@@ -140,7 +140,7 @@
         self.assertEqual(self.ledger.get(fingerprint).trials_used, 0)
 
     def test_suspected_request_is_not_hedged(self):
-        fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
+        fingerprint = self.quarantine.fingerprinter.of_forwarded_request(REQUEST)
         self.ledger.record_crash(fingerprint, SERVICE, "x")
         pools = {name: ScriptedPool(after(0.1, 200)) for name in ("a", "b")}
         self.forward(make_route(target=0.02), pools)
@@ -189,7 +189,7 @@
 
     def test_connection_lost_after_the_restart_is_known(self):
         """The update of the directory may arrive before the connection closes."""
-        fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
+        fingerprint = self.quarantine.fingerprinter.of_forwarded_request(REQUEST)
         self.failure(make_route(attempts=1), {"a": ScriptedPool(unresponsive)})
         state = self.directory.get("a")
         state.replaced = True
@@ -199,7 +199,7 @@
         self.assertEqual(len(self.ledger), 1)
 
     def test_three_incarnations_of_one_id_count_as_three_servers(self):
-        fingerprint = self.quarantine.fingerprinter.of_plain(REQUEST)
+        fingerprint = self.quarantine.fingerprinter.of_forwarded_request(REQUEST)
         for start in ("1000", "2000", "3000"):
             backend = Backend("a", SERVICE, Address("127.0.0.1", 1), "here", start=start)
             state = BackendState(backend)
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -14,7 +14,7 @@
         self.fingerprinter = Fingerprinter(b"secret")
 
     def of(self, **changes):
-        return self.fingerprinter.of_plain(replace(PLAIN, **changes))
+        return self.fingerprinter.of_forwarded_request(replace(PLAIN, **changes))
 
     def test_id_headers_and_stream_position_do_not_affect_fingerprint(self):
         same = self.of(request_id="other", headers=(), resume_after="7", urgency=3)
@@ -42,7 +42,7 @@
         self.assertEqual(self.fingerprinter.of_generation(run), self.of())
 
     def test_fingerprint_depends_on_the_secret(self):
-        self.assertNotEqual(Fingerprinter(b"guess").of_plain(PLAIN), self.of())
+        self.assertNotEqual(Fingerprinter(b"guess").of_forwarded_request(PLAIN), self.of())
 
     def test_fingerprint_is_an_opaque_digest(self):
         fingerprint = self.of()
