--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -164,7 +164,7 @@
         count.
         """
 
-    def stamp(self, headers: Iterable[tuple[str, str]]) -> str:
+    def response_signature(self, headers: Iterable[tuple[str, str]]) -> str:
         """Return the server's signature of its response, empty when there is none."""
 
     def weight_version(self, headers: Iterable[tuple[str, str]]) -> int:
--- a/src/runkeel/jobs/scorer.py
+++ b/src/runkeel/jobs/scorer.py
@@ -141,7 +141,7 @@
             return "", 0, max(RETRY_SECONDS, requested_delay)
         answer_class = self._protocol.classify(call.request_id, answer.status, answer.headers)
         if answer_class is ResponseClass.SUCCESS:
-            return self._protocol.stamp(answer.headers), 0, RETRY_SECONDS
+            return self._protocol.response_signature(answer.headers), 0, RETRY_SECONDS
         counts = self._protocol.is_failed_attempt(answer.status)
         logger.info(
             "scorer returned a failure",
--- a/tests/jobs/test_scorer.py
+++ b/tests/jobs/test_scorer.py
@@ -26,7 +26,7 @@
     def encode_score_request(self, request_id, host, path, body):
         return request_id
 
-    def stamp(self, headers):
+    def response_signature(self, headers):
         return "stamp"
 
     def is_failed_attempt(self, status):
