--- a/src/runkeel/gateway/deferrable_calls.py
+++ b/src/runkeel/gateway/deferrable_calls.py
@@ -77,7 +77,7 @@
         """Whether another call may start."""
         return self.calls_in_flight < self.limit
 
-    def note_refused(self) -> None:
+    def record_refusal(self) -> None:
         """Decrease the limit after a server was full."""
         now = self._now()
         if now - self._decreased_at < MIN_DECREASE_INTERVAL_SECONDS:
--- a/src/runkeel/jobs/scorer.py
+++ b/src/runkeel/jobs/scorer.py
@@ -131,7 +131,7 @@
                 detail=error.detail,
             )
             if error.code is ErrorCode.QUEUE_FULL:
-                self._calls.limit_of(service).note_refused()
+                self._calls.limit_of(service).record_refusal()
             withheld = error.code is ErrorCode.REQUEST_QUARANTINED
             requested_delay = (
                 min(MAX_QUARANTINE_RETRY_SECONDS, error.retry_after_seconds or 0.0)
--- a/tests/gateway/test_deferrable_calls.py
+++ b/tests/gateway/test_deferrable_calls.py
@@ -47,15 +47,15 @@
 
     def test_full_servers_decrease_the_limit_at_bounded_intervals(self):
         for _ in range(10):
-            self.limit.note_refused()
+            self.limit.record_refusal()
         self.assertEqual(self.limit.limit, int(12 * DECREASE_FACTOR))
         self.now += MIN_DECREASE_INTERVAL_SECONDS
-        self.limit.note_refused()
+        self.limit.record_refusal()
         self.assertLess(self.limit.limit, int(12 * DECREASE_FACTOR))
 
     def test_limit_grows_again(self):
         for _ in range(30):
-            self.limit.note_refused()
+            self.limit.record_refusal()
             self.now += MIN_DECREASE_INTERVAL_SECONDS
         small = self.limit.limit
         self.now += 0.5 / GROWTH_PER_SECOND
@@ -65,7 +65,7 @@
 
     def test_limit_never_falls_below_the_minimum(self):
         for _ in range(200):
-            self.limit.note_refused()
+            self.limit.record_refusal()
             self.now += MIN_DECREASE_INTERVAL_SECONDS
         self.assertGreaterEqual(self.limit.limit, MIN_CALLS)
 
