--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -141,7 +141,7 @@
                 include_not_preferred=not self.runners.needs_runners
             ),
             dependencies.journal,
-            self.scheduler.is_finished,
+            self.scheduler.is_result_listed,
         )
         self._copy_sender = JobCopySender(
             dependencies.network,
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -188,7 +188,7 @@
         tasks = [*self._finished.unlisted(), *self._running, *self._queue.tasks()]
         return {task.item.item_id: task.partial for task in tasks if task.partial.pieces}
 
-    def is_finished(self, item_id: str) -> bool:
+    def is_result_listed(self, item_id: str) -> bool:
         """Return whether an item's result is listed, so that its output is not needed.
 
         This is as of the last call of :meth:`open_outputs`. Only completed items count, and only
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -186,12 +186,12 @@
         result = ItemResult(f"{JOB_ID}-0", ResultState.COMPLETED, "x", (1,), "score")
         self.scheduler._finish(task, result)
         self.assertEqual(list(self.scheduler.open_outputs()), [f"{JOB_ID}-0"])
-        self.assertFalse(self.scheduler.is_finished(f"{JOB_ID}-0"))
+        self.assertFalse(self.scheduler.is_result_listed(f"{JOB_ID}-0"))
         self.state.append_segment(list(self.state.unlisted))
         self.assertEqual(self.scheduler.open_outputs(), {})
-        self.assertTrue(self.scheduler.is_finished(f"{JOB_ID}-0"))
+        self.assertTrue(self.scheduler.is_result_listed(f"{JOB_ID}-0"))
         self.scheduler.add(JobState(make_job()))
-        self.assertFalse(self.scheduler.is_finished(f"{JOB_ID}-0"))
+        self.assertFalse(self.scheduler.is_result_listed(f"{JOB_ID}-0"))
 
     def test_without_a_configuration_items_wait(self):
         """Guards against failing items for a missing route before any configuration is loaded."""
