--- a/src/runkeel/operators/fleet_commands.py
+++ b/src/runkeel/operators/fleet_commands.py
@@ -79,11 +79,11 @@
     def _release(self, release: ReleaseRequest, command_id: str) -> CommandOutcome:
         """Release a request from quarantine; gossip tells the other nodes."""
         record = self._ledger.get(release.fingerprint)
-        if record is None or not record.ended:
+        if record is None or not record.crashed_servers:
             raise not_run(
                 ErrorCode.NOT_FOUND, f"no quarantine record of request {release.fingerprint}"
             )
-        crashes = len(record.ended)
+        crashes = len(record.crashed_servers)
         changes = (
             f"a request during which {crashes} servers crashed "
             f"may be sent to {record.service} again"
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -185,14 +185,14 @@
                 record.fingerprint,
                 record.service,
                 "held" if record.quarantined else "suspected",
-                len(record.ended),
-                ", ".join(sorted(record.ended)),
+                len(record.crashed_servers),
+                ", ".join(sorted(record.crashed_servers)),
                 record.trials_used,
                 record.clearance,
                 int((now - record.changed_at) * 1000),
             )
             for record in self._node.quarantine.ledger.records()
-            if record.ended
+            if record.crashed_servers
         ]
 
     def _limit_rows(self) -> list[Row]:
--- a/src/runkeel/quarantine/crash_ledger.py
+++ b/src/runkeel/quarantine/crash_ledger.py
@@ -83,7 +83,7 @@
     def clear(self, fingerprint: str) -> bool:
         """Clear the crashes of a request on all nodes; returns False if none are recorded."""
         known = self.get(fingerprint)
-        if known is None or not known.ended:
+        if known is None or not known.crashed_servers:
             return False
         cleared = CrashRecord(fingerprint, known.service, known.clearance + 1)
         self._put(replace(cleared, changed_at=self._now()), "")
@@ -135,12 +135,12 @@
                 code="request_forgotten",
                 fingerprint=fingerprint,
                 service=record.service,
-                ended=sorted(record.ended),
+                ended=sorted(record.crashed_servers),
                 age_ms=int((self._now() - record.changed_at) * 1000),
             )
 
     def _expired(self, record: CrashRecord) -> bool:
-        if not record.ended:
+        if not record.crashed_servers:
             retention_seconds = CLEARANCE_RETENTION_SECONDS
         else:
             retention_seconds = (
@@ -151,4 +151,4 @@
 
 def _retention_priority(record: CrashRecord) -> tuple[bool, int, float]:
     """Return the sort key for eviction; the record with the lowest key is evicted first."""
-    return record.quarantined, len(record.ended), record.changed_at
+    return record.quarantined, len(record.crashed_servers), record.changed_at
--- a/src/runkeel/quarantine/crash_record.py
+++ b/src/runkeel/quarantine/crash_record.py
@@ -30,7 +30,8 @@
 
     Attributes:
         clearance: number of times the request was cleared, by a success or by an operator.
-        ended: incarnations of the servers that crashed during it since the last clearance.
+        crashed_servers: incarnations of the servers that crashed during it since the last
+            clearance.
         trials: number of trials (single sends while quarantined) granted since the last clearance.
         trials_returned: number of granted trials that reached no server.
         changed_at: steady time, in seconds, of the last known crash, clearance or granted trial.
@@ -39,7 +40,7 @@
     fingerprint: str
     service: str
     clearance: int = 0
-    ended: frozenset[str] = frozenset()
+    crashed_servers: frozenset[str] = frozenset()
     trials: int = 0
     trials_returned: int = 0
     changed_at: float = 0.0
@@ -47,7 +48,7 @@
     @property
     def quarantined(self) -> bool:
         """Whether the request is quarantined, so that it is sent to servers only in trials."""
-        return len(self.ended) >= QUARANTINE_THRESHOLD
+        return len(self.crashed_servers) >= QUARANTINE_THRESHOLD
 
     @property
     def trials_used(self) -> int:
@@ -57,7 +58,7 @@
     @property
     def digest(self) -> int:
         """Digest of the record's content, excluding its age."""
-        ended = ",".join(sorted(self.ended))
+        ended = ",".join(sorted(self.crashed_servers))
         text = f"{self.fingerprint} {self.clearance} {ended} {self.trials} {self.trials_returned}"
         return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).digest())
 
@@ -74,7 +75,7 @@
         one.fingerprint,
         one.service or other.service,
         one.clearance,
-        frozenset(sorted(one.ended | other.ended)[:MAX_CRASHED_SERVERS]),
+        frozenset(sorted(one.crashed_servers | other.crashed_servers)[:MAX_CRASHED_SERVERS]),
         max(one.trials, other.trials),
         max(one.trials_returned, other.trials_returned),
         max(one.changed_at, other.changed_at),
@@ -87,7 +88,7 @@
         record.fingerprint,
         record.service,
         record.clearance,
-        sorted(record.ended),
+        sorted(record.crashed_servers),
         record.trials,
         record.trials_returned,
         int(max(0.0, now - record.changed_at) * 1000),
--- a/src/runkeel/quarantine/crash_record_writer.py
+++ b/src/runkeel/quarantine/crash_record_writer.py
@@ -142,8 +142,10 @@
         return document
 
     def _records_to_store(self) -> list[CrashRecord]:
-        selected = [one for one in self._ledger.records() if len(one.ended) >= MIN_STORED_CRASHES]
-        selected.sort(key=lambda one: (len(one.ended), one.changed_at), reverse=True)
+        selected = [
+            one for one in self._ledger.records() if len(one.crashed_servers) >= MIN_STORED_CRASHES
+        ]
+        selected.sort(key=lambda one: (len(one.crashed_servers), one.changed_at), reverse=True)
         return selected[:MAX_STORED_RECORDS]
 
 
@@ -169,7 +171,7 @@
         "fingerprint": record.fingerprint,
         "service": record.service,
         "clearance": record.clearance,
-        "ended": sorted(record.ended),
+        "ended": sorted(record.crashed_servers),
         "trials": record.trials,
         "trials_returned": record.trials_returned,
         "changed_at": time.time() - age,
--- a/src/runkeel/quarantine/quarantine.py
+++ b/src/runkeel/quarantine/quarantine.py
@@ -127,7 +127,7 @@
             service=lost.service,
             backend=lost.state.incarnation,
             evidence=str(evidence),
-            ended=len(record.ended),
+            ended=len(record.crashed_servers),
             age_ms=int((steady_seconds() - lost.lost_at) * 1000),
         )
 
@@ -142,7 +142,7 @@
             code="request_held" if record.quarantined else "request_released",
             fingerprint=record.fingerprint,
             service=record.service,
-            ended=sorted(record.ended),
+            ended=sorted(record.crashed_servers),
             clearance=record.clearance,
             told_by=source,
         )
@@ -187,7 +187,7 @@
         Unlike :attr:`quarantined`, true from the first crash on.
         """
         record = self._record()
-        return record is not None and bool(record.ended)
+        return record is not None and bool(record.crashed_servers)
 
     @property
     def quarantined(self) -> bool:
--- a/src/runkeel/quarantine/service.py
+++ b/src/runkeel/quarantine/service.py
@@ -134,12 +134,12 @@
         """Stop sending to crashed servers, whose entries expire only some seconds later.
 
         Args:
-            record: the changed record; its ``ended`` holds the servers that crashed.
+            record: the changed record; its ``crashed_servers`` holds the servers that crashed.
             before: the record before the change; None if there was none.
             source: node that sent the change, empty if it is this one; not used here.
         """
-        already_recorded = before.ended if before is not None else frozenset()
-        for incarnation in record.ended - already_recorded:
+        already_recorded = before.crashed_servers if before is not None else frozenset()
+        for incarnation in record.crashed_servers - already_recorded:
             state = self._directory.find(incarnation)
             if state is not None:
                 state.mark_ended()
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -178,7 +178,7 @@
         self.directory.on_incarnation_end(self.quarantine.crash_detector.backend_restarted)
         self.directory.put(replace(before.backend, start="2000"), 2)
         (record,) = self.ledger.records()
-        self.assertEqual(record.ended, {"a"})
+        self.assertEqual(record.crashed_servers, {"a"})
 
     def test_restart_of_a_drained_server_is_no_crash(self):
         self.failure(make_route(attempts=1), {"a": ScriptedPool(lost())})
--- a/tests/quarantine/test_crash_record.py
+++ b/tests/quarantine/test_crash_record.py
@@ -18,7 +18,7 @@
     fingerprint=st.just("f"),
     service=st.just("tariff"),
     clearance=st.integers(0, 2),
-    ended=st.frozensets(st.sampled_from([f"s{n}" for n in range(24)]), max_size=12),
+    crashed_servers=st.frozensets(st.sampled_from([f"s{n}" for n in range(24)]), max_size=12),
     trials=st.integers(0, 3),
     trials_returned=st.integers(0, 3),
     changed_at=st.floats(0, 100),
@@ -49,8 +49,8 @@
 
     def test_number_of_listed_servers_is_bounded(self):
         many = frozenset(f"s{n}" for n in range(3 * MAX_CRASHED_SERVERS))
-        record = merge(CrashRecord("f", "x", ended=many), CrashRecord("f", "x"))
-        self.assertEqual(len(record.ended), MAX_CRASHED_SERVERS)
+        record = merge(CrashRecord("f", "x", crashed_servers=many), CrashRecord("f", "x"))
+        self.assertEqual(len(record.crashed_servers), MAX_CRASHED_SERVERS)
 
 
 if __name__ == "__main__":
--- a/tests/quarantine/test_crash_record_writer.py
+++ b/tests/quarantine/test_crash_record_writer.py
@@ -27,7 +27,7 @@
     def stored_crash_counts(self):
         ledger = CrashLedger()
         read_records(self.store, "fleet", ledger)
-        return {one.fingerprint: len(one.ended) for one in ledger.records()}
+        return {one.fingerprint: len(one.crashed_servers) for one in ledger.records()}
 
     def wait_until(self, condition):
         deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
--- a/tests/quarantine/test_gossip.py
+++ b/tests/quarantine/test_gossip.py
@@ -38,7 +38,7 @@
 
     def ended(self, name):
         record = self.ledgers[name].get("f")
-        return set(record.ended) if record is not None else set()
+        return set(record.crashed_servers) if record is not None else set()
 
     def wait_until(self, condition):
         deadline = steady_seconds() + WAIT_TIMEOUT_SECONDS
