--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -449,7 +449,7 @@
                 listener()
 
     def _run(self) -> None:
-        self._watcher.listed.wait()
+        self._watcher.first_list_applied.wait()
         if self._coordinator is None or self._coordinator.node_id != self._node_id:
             gevent.sleep(random.uniform(0.0, START_JITTER_SECONDS))
         if not self._preferred and self._coordinator is None:
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -362,7 +362,7 @@
     @property
     def knows_routes_and_servers(self) -> bool:
         """Whether this node knows its routing configuration and the servers."""
-        listed = all(watcher.listed.is_set() for watcher in self._watchers)
+        listed = all(watcher.first_list_applied.is_set() for watcher in self._watchers)
         return self.routing.configuration is not None and listed
 
     def start(self) -> None:
--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -253,11 +253,10 @@
         loaded, then for partial outputs if some are expected, and for as long as other nodes may
         still run items for the previous coordinator.
         """
-        # Each wait is for the watcher's first list of documents; it has nothing to do with results.
         self._end_watcher.start()
-        self._end_watcher.listed.wait()
+        self._end_watcher.first_list_applied.wait()
         self._job_watcher.start()
-        self._job_watcher.listed.wait()
+        self._job_watcher.first_list_applied.wait()
         deadline = steady_seconds() + INITIAL_LOAD_TIMEOUT_SECONDS
         while self._loading and steady_seconds() < deadline:
             gevent.sleep(_POLL_INTERVAL_SECONDS)
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -84,7 +84,7 @@
         contiguous_since: revision since which this watcher has observed every change. Documents
             created and removed before, between two lists, may have been missed.
         removals: names removed since then, each with the revision at which it was noticed.
-        listed: set once the first list or page has been applied.
+        first_list_applied: set once the first list or page has been applied.
         current_as_of: steady time, in seconds, at which the copy was last known to equal the store.
     """
 
@@ -123,7 +123,7 @@
         self.removals: deque[tuple[int, str]] = deque()
         self.documents: dict[str, Document] = {}
         self._names = NameDigest()
-        self.listed = Event()
+        self.first_list_applied = Event()
         self.current_as_of = 0.0
 
     @property
@@ -160,7 +160,7 @@
 
     def refresh(self, reason: str) -> None:
         """Cancel the pending watch, which may be hanging, and list again."""
-        if self._task is None or not self.listed.is_set():
+        if self._task is None or not self.first_list_applied.is_set():
             return
         logger.info(
             "watch cancelled for a new list",
@@ -175,7 +175,7 @@
 
     def restart_watch(self) -> None:
         """Restart the pending watch with the current time-out."""
-        if self._task is not None and self.listed.is_set():
+        if self._task is not None and self.first_list_applied.is_set():
             self.stop()
             self.start()
 
@@ -203,7 +203,7 @@
         for document in page.documents:
             if document.revision > before or page.whole:
                 self._apply(document, removed=False)
-        self.listed.set()
+        self.first_list_applied.set()
 
     def _run(self) -> None:
         while True:
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -73,7 +73,7 @@
         self.store.age()
         self.store.put(KIND, "a", 1)
         self._start_with_stale_list()
-        self.watcher.listed.wait(WAIT_TIMEOUT_SECONDS)
+        self.watcher.first_list_applied.wait(WAIT_TIMEOUT_SECONDS)
         self.assertEqual(self.watcher.current_as_of, 0.0)
         self._wait_until(lambda: self.watcher.current_as_of)
         self.assertEqual(sorted(self.watcher.documents), ["a"])
@@ -187,7 +187,7 @@
 
     def test_page_of_another_copy_is_applied(self):
         self.watcher.merge_page(self._page(5, ("a", 3), ("b", 5), whole=True))
-        self.assertTrue(self.watcher.listed.is_set())
+        self.assertTrue(self.watcher.first_list_applied.is_set())
         self.watcher.merge_page(self._page(8, ("b", 8), removed=("a",)))
         self.assertEqual(self.changes, [("a", False), ("b", False), ("a", True), ("b", False)])
         self.assertEqual(self.watcher.revision, 8)
@@ -262,7 +262,7 @@
         for name in ("a", "b"):
             self.store.put(KIND, name, 1)
         watcher.start()
-        self._wait_until(watcher.listed.is_set)
+        self._wait_until(watcher.first_list_applied.is_set)
         self.store.down = True
         self._wait_until(lambda: not watcher.reachable)
         observed.failing_since -= outage_seconds
@@ -307,7 +307,7 @@
 
     def test_refresh_cancels_a_hanging_watch(self):
         self.watcher.start()
-        self._wait_until(self.watcher.listed.is_set)
+        self._wait_until(self.watcher.first_list_applied.is_set)
         self.store._changed = gevent.event.Event()
         self.watcher.refresh("test")
         self.store.put(KIND, "a", 1)
