--- a/tests/gateway/test_burst.py
+++ b/tests/gateway/test_burst.py
@@ -16,7 +16,7 @@
 from runkeel.usage.meter import UsageMeter
 from tests.gateway.scripted_servers import SERVICE, ScriptedPool, StatusProtocol, after
 from tests.gateway.test_forwarder import make_route
-from tests.open_quarantine import open_quarantine
+from tests.standalone_quarantine import standalone_quarantine
 
 SERVERS = 10
 NEAR = 3
@@ -37,7 +37,7 @@
             self.pools.append(pool)
         meter = UsageMeter(5.0, lambda: 1_000.0)
         self.forwarder = Forwarder(
-            self.directory, StatusProtocol(), "here", meter, open_quarantine()
+            self.directory, StatusProtocol(), "here", meter, standalone_quarantine()
         )
 
     def send(self, number):
--- a/tests/gateway/test_forwarder.py
+++ b/tests/gateway/test_forwarder.py
@@ -21,7 +21,7 @@
     unreachable,
     unresponsive,
 )
-from tests.open_quarantine import open_quarantine
+from tests.standalone_quarantine import standalone_quarantine
 
 REQUEST = ForwardedRequest("r", "POST", "/p", "h", (), b"", tenant="parish")
 
@@ -37,7 +37,7 @@
 
     def forward(self, route, seconds=2.0, disconnected=None, **pools):
         forwarder = Forwarder(
-            directory_of(**pools), StatusProtocol(), "here", self.meter, open_quarantine()
+            directory_of(**pools), StatusProtocol(), "here", self.meter, standalone_quarantine()
         )
         return forwarder.forward(REQUEST, route, SERVICE, steady_seconds() + seconds, disconnected)
 
@@ -125,7 +125,9 @@
 
     def test_failed_server_is_chosen_last(self):
         directory = directory_of(a=ScriptedPool(lost(), 200), b=ScriptedPool(200, 200, 200))
-        forwarder = Forwarder(directory, StatusProtocol(), "here", self.meter, open_quarantine())
+        forwarder = Forwarder(
+            directory, StatusProtocol(), "here", self.meter, standalone_quarantine()
+        )
         directory.get("a").record_call_failure()
         for _ in range(3):
             forwarder.forward(REQUEST, make_route(), SERVICE, steady_seconds() + 2.0)
--- a/tests/gateway/test_forwarder_quarantine.py
+++ b/tests/gateway/test_forwarder_quarantine.py
@@ -29,7 +29,7 @@
     unresponsive,
 )
 from tests.gateway.test_forwarder import REQUEST, make_route
-from tests.open_quarantine import RETRY_SECONDS, open_quarantine
+from tests.standalone_quarantine import RETRY_SECONDS, standalone_quarantine
 
 
 class CrashedPool(ScriptedPool):
@@ -46,7 +46,7 @@
     def setUp(self):
         self.granted = False
         self.trial_requests = 0
-        self.quarantine = open_quarantine(self.ask_trial)
+        self.quarantine = standalone_quarantine(self.ask_trial)
         self.ledger = self.quarantine.ledger
 
     def ask_trial(self, record):
--- a/tests/gateway/test_retry_after.py
+++ b/tests/gateway/test_retry_after.py
@@ -28,7 +28,7 @@
     unreachable,
 )
 from tests.gateway.test_forwarder import make_route
-from tests.open_quarantine import open_quarantine
+from tests.standalone_quarantine import standalone_quarantine
 
 REQUEST = ForwardedRequest("r", "POST", "/p", "h", (), b"")
 DRAWS = 50
@@ -105,7 +105,7 @@
         self.directory = directory_of(**self.pools)
         meter = UsageMeter(5.0, lambda: 1_000.0)
         self.forwarder = Forwarder(
-            self.directory, StatusProtocol(), "here", meter, open_quarantine()
+            self.directory, StatusProtocol(), "here", meter, standalone_quarantine()
         )
 
     def served(self, retry_seconds):
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -19,7 +19,7 @@
     lost,
     unreachable,
 )
-from tests.open_quarantine import open_quarantine
+from tests.standalone_quarantine import standalone_quarantine
 
 REQUEST = ForwardedRequest("r", "POST", "/p", "h", (), b"", tenant="parish")
 
@@ -43,7 +43,7 @@
         for name in last:
             self.directory.get(name).record_call_failure()
         forwarder = StreamForwarder(
-            self.directory, self.protocol, "here", self.meter, open_quarantine()
+            self.directory, self.protocol, "here", self.meter, standalone_quarantine()
         )
         return forwarder.open(REQUEST, route, SERVICE, steady_seconds() + 5.0, self.disconnected)
 
--- a/tests/jobs/test_expiry.py
+++ b/tests/jobs/test_expiry.py
@@ -20,7 +20,7 @@
 from runkeel.jobs.scorer import ScoringUnfinishedError
 from tests.jobs.test_job_service import make_job
 from tests.jobs.test_scheduler import SERVICE, SilentProtocol, make_configuration
-from tests.open_quarantine import open_quarantine
+from tests.standalone_quarantine import standalone_quarantine
 
 QUEUE_SECONDS = 60.0
 MAX_WAIT_SECONDS = 5.0
@@ -75,7 +75,7 @@
             SilentProtocol(),
             self.scorer,
             lambda *key: False,
-            open_quarantine(),
+            standalone_quarantine(),
         )
         self.addCleanup(scheduler.stop)
         job = self.job(seconds_ago)
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -32,7 +32,7 @@
     Scheduler,
 )
 from tests.jobs.test_job_service import JOB_ID, make_job
-from tests.open_quarantine import open_quarantine
+from tests.standalone_quarantine import standalone_quarantine
 
 SERVICE = "engines"
 DEAD_ADDRESS = Address("127.0.0.1", 1)
@@ -84,13 +84,18 @@
             UnusedProtocol(),
             None,
             lambda *key: False,
-            open_quarantine(),
+            standalone_quarantine(),
         )
         self.state = JobState(make_job())
 
     def _use_protocol(self, protocol):
         self.scheduler = Scheduler(
-            self.placement, self.routing, protocol, None, lambda *key: False, open_quarantine()
+            self.placement,
+            self.routing,
+            protocol,
+            None,
+            lambda *key: False,
+            standalone_quarantine(),
         )
         self.addCleanup(self.scheduler.stop)
 
--- a/tests/runners/test_lease.py
+++ b/tests/runners/test_lease.py
@@ -21,7 +21,7 @@
     NodeAddress,
 )
 from runkeel_lab.standins.peer_network import MemoryNetwork
-from tests.open_quarantine import open_quarantine
+from tests.standalone_quarantine import standalone_quarantine
 
 SERVICE = "engines"
 WAIT_TIMEOUT_SECONDS = 10.0
@@ -96,7 +96,7 @@
             self.directory,
             None,
             None,
-            open_quarantine(),
+            standalone_quarantine(),
             lambda: self.epoch,
             lambda address, epoch: None,
             lambda epoch, item, partial: self.kept_outputs.append((epoch, item, partial.pieces)),
--- a/tests/open_quarantine.py
+++ b/tests/standalone_quarantine.py
@@ -7,5 +7,5 @@
 """Retry delay reported for a denied trial."""
 
 
-def open_quarantine(ask_trial=lambda record: TrialAnswer(False, RETRY_SECONDS)):
+def standalone_quarantine(ask_trial=lambda record: TrialAnswer(False, RETRY_SECONDS)):
     return Quarantine(b"test", ask_trial)
