--- a/src/runkeel/api/jobs.py
+++ b/src/runkeel/api/jobs.py
@@ -53,7 +53,7 @@
     Attributes:
         path: path that it was submitted to; host and path determine its route.
         submitted_at: seconds since the epoch.
-        minimum_version: oldest weight version that may generate its tokens.
+        min_version: oldest weight version that may generate its tokens.
         required_groups: number of complete groups that the trainer waits for.
         step: training step that the job belongs to, as its caller numbers it; 0: not given.
         tenant: tenant that owns the job; empty: none.
@@ -65,7 +65,7 @@
     submitted_at: float
     items: tuple[JobItem, ...]
     model: str = ""
-    minimum_version: int = 0
+    min_version: int = 0
     required_groups: int = 0
     step: int = 0
     tenant: str = ""
--- a/src/runkeel/api/machines.py
+++ b/src/runkeel/api/machines.py
@@ -102,7 +102,7 @@
         in_flight: number of requests in flight at its backends.
         queued: number of requests queued at the node.
         projected_wait_ms: expected wait of a new request of the lowest caller class.
-        minimum_version: lowest weight version among its backends; 0 for applications.
+        min_version: lowest weight version among its backends; 0 for applications.
         max_version: highest weight version among its backends; 0 for applications.
     """
 
@@ -114,7 +114,7 @@
     in_flight: int
     queued: int
     projected_wait_ms: int
-    minimum_version: int = 0
+    min_version: int = 0
     max_version: int = 0
 
 
--- a/src/runkeel/coordination/rollout_plan.py
+++ b/src/runkeel/coordination/rollout_plan.py
@@ -37,13 +37,13 @@
     """Requirements of the batch jobs on a model.
 
     Attributes:
-        minimum_version: oldest version that every open job accepts.
+        min_version: oldest version that every open job accepts.
         max_version_lag: number of versions behind the newest that the latest job accepts.
         items: recent maximum of concurrently open items; None if there was no job yet.
         backlogged: whether items have recently waited long for an engine.
     """
 
-    minimum_version: int = 0
+    min_version: int = 0
     max_version_lag: int = 0
     items: int | None = None
     backlogged: bool = False
@@ -146,7 +146,7 @@
     model: str, target: int, demand: ModelDemand, statuses: list[EngineStatus]
 ) -> _ModelPlan:
     in_use = _in_use(model, demand, statuses)
-    floor = max(target - demand.max_version_lag, demand.minimum_version)
+    floor = max(target - demand.max_version_lag, demand.min_version)
     usable = sum(1 for one in in_use if one.version >= floor and not one.avoided)
     plan = _ModelPlan(model, target, len(in_use), usable)
     quota = -(-len(in_use) // (demand.max_version_lag + 1))
--- a/src/runkeel/http/frontend.py
+++ b/src/runkeel/http/frontend.py
@@ -25,7 +25,7 @@
 _BACKLOG = 512
 _BODILESS_STATUSES = (204, 304)
 _CONNECTION_KEY = "runkeel.connection"
-_MINIMUM_HEADER_SECONDS = 1.0
+_MIN_HEADER_SECONDS = 1.0
 
 
 @dataclass(slots=True)
--- a/src/runkeel/jobs/coordinator.py
+++ b/src/runkeel/jobs/coordinator.py
@@ -77,7 +77,7 @@
     """The oldest version that a job accepts, and the newest version at the time of recording."""
 
     submitted_at: float
-    minimum_version: int
+    min_version: int
     newest_version: int
 
 
@@ -220,18 +220,18 @@
 
     def demand(self, model: str, newest_version: int) -> ModelDemand:
         """Return which versions of a model the jobs accept, and how much work they have for it."""
-        minimum_versions = [
-            state.job.minimum_version
+        min_versions = [
+            state.job.min_version
             for state in self._jobs.values()
             if state.job.model == model and not state.ended and not state.complete
         ]
         latest = self._latest_job_versions.get(model)
         max_version_lag = (
-            0 if latest is None else max(0, latest.newest_version - latest.minimum_version)
+            0 if latest is None else max(0, latest.newest_version - latest.min_version)
         )
         items = max(self._recent_item_counts.get(model, ()), default=None)
         backlogged = self._scheduler.backlogged(model)
-        return ModelDemand(max(minimum_versions, default=0), max_version_lag, items, backlogged)
+        return ModelDemand(max(min_versions, default=0), max_version_lag, items, backlogged)
 
     def page(
         self, state: JobState, position: int, wait_seconds: float, max_bytes: int
@@ -397,7 +397,7 @@
             listed=len(state.results),
             ended=ended,
             model=job.model,
-            minimum_version=job.minimum_version,
+            minimum_version=job.min_version,
             step=job.step,
             confirmed=job.job_id not in self._unconfirmed,
             age_ms=int((time.time() - job.submitted_at) * 1000),
@@ -412,7 +412,7 @@
         newest = self._newest_version(job.model)
         if newest:
             self._latest_job_versions[job.model] = _AcceptedVersions(
-                job.submitted_at, job.minimum_version, newest
+                job.submitted_at, job.min_version, newest
             )
 
     def _record_item_count(self, job: BatchJob) -> None:
--- a/src/runkeel/jobs/engine_placement.py
+++ b/src/runkeel/jobs/engine_placement.py
@@ -147,7 +147,7 @@
             cost = self.slots_in_use(state.incarnation) / max(1, state.backend.slots)
             cost -= GROUP_BONUS if state is group_engine else 0.0
             cost += SLOWDOWN_COST * length * (self._speeds.slowdown(state.incarnation) - 1.0)
-            if job.model and self._version(state, job.model) <= job.minimum_version:
+            if job.model and self._version(state, job.model) <= job.min_version:
                 cost += OLD_VERSION_COST * length
             if best is None or cost < best_cost:
                 best, best_cost = state, cost
@@ -184,7 +184,7 @@
             return True
         if self._is_loading(engine.incarnation, job.model):
             return False
-        return self._version(engine, job.model) >= job.minimum_version
+        return self._version(engine, job.model) >= job.min_version
 
     def observe(self, samples: Iterable[RunSample]) -> None:
         """Update the speed estimates with the events that runs have received so far."""
--- a/src/runkeel/jobs/generation_run.py
+++ b/src/runkeel/jobs/generation_run.py
@@ -86,9 +86,9 @@
         """
         return min(self.versions, default=0), len(self.pieces)
 
-    def satisfies_versions(self, minimum_version: int, single_version: bool) -> bool:
+    def satisfies_versions(self, min_version: int, single_version: bool) -> bool:
         """Return whether the output complies with a job's restrictions on weight versions."""
-        if any(version < minimum_version for version in self.versions):
+        if any(version < min_version for version in self.versions):
             return False
         return not single_version or len(self.versions) <= 1
 
@@ -99,7 +99,7 @@
     Args:
         watched: records whether the engine crashed under the request.
         partial: output of earlier runs, extended in place.
-        minimum_version: oldest weight version allowed.
+        min_version: oldest weight version allowed.
         single_version: all events must come from one weight version.
         loading: returns whether the engine is loading a version, which pauses its streams.
     """
@@ -111,7 +111,7 @@
         request: GenerationRequest,
         watched: WatchedRequest,
         partial: PartialOutput,
-        minimum_version: int,
+        min_version: int,
         single_version: bool,
         loading: Callable[[], bool] = lambda: False,
     ) -> None:
@@ -120,7 +120,7 @@
         self._engine = engine
         self._request = request
         self._partial = partial
-        self._minimum_version = minimum_version
+        self._min_version = min_version
         self._single_version = single_version
         self.loading = loading
         self.events = 0
@@ -165,7 +165,7 @@
         if response_class is not ResponseClass.SUCCESS:
             return self._drain_failure(stream, response_class)
         version = self._protocol.weight_version(stream.headers)
-        if version and version < self._minimum_version:
+        if version and version < self._min_version:
             return RunOutcome.OLD_VERSION
         try:
             return self._read_events(stream, version, deadline)
@@ -233,7 +233,7 @@
                 ErrorCode.BACKEND_LOST, f"event out of order: {event.event_id} after {last}"
             )
         versions = self._partial.versions
-        if version and version < self._minimum_version:
+        if version and version < self._min_version:
             return -1
         if version and version not in versions:
             if versions and self._single_version:
--- a/src/runkeel/jobs/item_runner.py
+++ b/src/runkeel/jobs/item_runner.py
@@ -195,7 +195,7 @@
             request,
             self._watched(task, task.engine.backend.service),
             task.partial,
-            job.minimum_version,
+            job.min_version,
             route.single_version,
             self._loading(task),
         )
@@ -213,7 +213,7 @@
             urgency=self._urgency(task, route),
             resume_after=task.partial.last_event_id or "",
             versions=list(task.partial.versions),
-            minimum_version=job.minimum_version,
+            minimum_version=job.min_version,
             single_version=route.single_version,
             scorer=None if scorer is None else _scorer_message(scorer),
             tenant=job.tenant,
--- a/src/runkeel/jobs/scheduler.py
+++ b/src/runkeel/jobs/scheduler.py
@@ -175,7 +175,7 @@
     def _can_use(self, task: ItemTask, output: PartialOutput) -> bool:
         route = self._route(task)
         return output.satisfies_versions(
-            task.state.job.minimum_version, bool(route and route.single_version)
+            task.state.job.min_version, bool(route and route.single_version)
         )
 
     def _resume_from(self, task: ItemTask, output: PartialOutput) -> None:
@@ -446,7 +446,7 @@
             return
         if outcome is RunOutcome.OLD_VERSION:
             self._placement.versions.pop((task.engine.incarnation, job.model), None)
-        if not task.partial.satisfies_versions(job.minimum_version, route.single_version):
+        if not task.partial.satisfies_versions(job.min_version, route.single_version):
             task.partial.clear()
         if outcome is not RunOutcome.MOVED:
             task.not_before = steady_seconds() + REQUEUE_DELAY_SECONDS
--- a/src/runkeel/jobs/service.py
+++ b/src/runkeel/jobs/service.py
@@ -447,7 +447,7 @@
         job=job.job_id,
         items=len(job.items),
         model=job.model,
-        minimum_version=job.minimum_version,
+        minimum_version=job.min_version,
         step=job.step,
         tenant=job.tenant,
         by=by,
--- a/src/runkeel/operators/fleet_tables.py
+++ b/src/runkeel/operators/fleet_tables.py
@@ -154,7 +154,7 @@
                 state.job.job_id,
                 state.job.model,
                 state.job.step,
-                state.job.minimum_version,
+                state.job.min_version,
                 len(state.items),
                 len(state.results),
                 len(state.unlisted),
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -139,7 +139,7 @@
             for number in range(items)
         ),
         model=_MODEL,
-        minimum_version=1,
+        min_version=1,
     )
 
 
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -297,7 +297,7 @@
         edge: str,
         job_id: str,
         items: list[str],
-        minimum_version: int = 1,
+        min_version: int = 1,
         key: str = "",
         item_headers: dict[str, str] | None = None,
     ) -> int:
@@ -305,7 +305,7 @@
         body = {
             "Step": 0,
             "Model": MODEL,
-            "MinVersion": minimum_version,
+            "MinVersion": min_version,
             "DesiredCount": 1,
             "Items": [_item(item_id, item_headers or {}) for item_id in items],
         }
--- a/tests/jobs/test_job_service.py
+++ b/tests/jobs/test_job_service.py
@@ -31,7 +31,7 @@
             for n in range(items)
         ),
         model="m",
-        minimum_version=1,
+        min_version=1,
     )
 
 
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -302,7 +302,7 @@
     def test_other_jobs_are_scheduled_when_one_job_finds_no_engine(self):
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
-        without_engine = replace(make_job(), job_id="without-engine", minimum_version=2)
+        without_engine = replace(make_job(), job_id="without-engine", min_version=2)
         later = replace(make_job(), submitted_at=without_engine.submitted_at + 1.0)
         self.scheduler.add(JobState(without_engine))
         self.scheduler.add(JobState(later))
--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -91,7 +91,7 @@
         deployment.publish_version(2)
         self.wait(lambda: all(e.versions["allocation"] == 2 for e in deployment.engines))
         items = self.items("j3", 8)
-        deployment.submit("edge-0", "j3", items, minimum_version=2)
+        deployment.submit("edge-0", "j3", items, min_version=2)
         results = self.wait_for_results(deployment, "edge-0", "j3", len(items))
         self.check_results(results, items)
         self.assertEqual({tuple(result["WeightVersions"]) for result in results}, {(2,)})
