--- a/src/runkeel/api/backend_protocol.py
+++ b/src/runkeel/api/backend_protocol.py
@@ -137,7 +137,7 @@
 class BackendProtocol(Protocol):
     """Encodes requests to backends and parses their responses; does no I/O."""
 
-    def encode_plain(
+    def encode_forwarded_request(
         self, request: ForwardedRequest, backend: Backend, remaining_seconds: float
     ) -> OutgoingRequest:
         """Build the request that forwards a client's request."""
@@ -164,7 +164,7 @@
         count.
         """
 
-    def stamp(self, headers: Iterable[tuple[str, str]]) -> str:
+    def response_signature(self, headers: Iterable[tuple[str, str]]) -> str:
         """Return the server's signature of its response, empty when there is none."""
 
     def weight_version(self, headers: Iterable[tuple[str, str]]) -> int:
--- a/src/runkeel/gateway/forwarder.py
+++ b/src/runkeel/gateway/forwarder.py
@@ -122,7 +122,9 @@
             RunkeelError: with verdict NOT_RUN only if no server ran the request.
         """
         watched = self._quarantine.watch(
-            lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
+            lambda: self._quarantine.fingerprinter.of_forwarded_request(request),
+            service,
+            request.request_id,
         )
         forwarded = _InFlightRequest(request, watched, route, service, deadline, steady_seconds())
         disconnect_watcher = (
@@ -286,7 +288,7 @@
             return response_classes[-1] is not ResponseClass.FOREIGN
 
         try:
-            outgoing = self._protocol.encode_plain(request, state.backend, remaining)
+            outgoing = self._protocol.encode_forwarded_request(request, state.backend, remaining)
             response = state.pool.request(outgoing, forwarded.deadline, accept=accept)
         except RunkeelError as error:
             forwarded.watched.record_failure(state, error)
--- a/src/runkeel/gateway/streams.py
+++ b/src/runkeel/gateway/streams.py
@@ -109,7 +109,9 @@
             RunkeelError: with verdict NOT_RUN only if no server ran the request.
         """
         watched = self._quarantine.watch(
-            lambda: self._quarantine.fingerprinter.of_plain(request), service, request.request_id
+            lambda: self._quarantine.fingerprinter.of_forwarded_request(request),
+            service,
+            request.request_id,
         )
         client_stream = _ClientStream(request, watched, route, service, deadline, disconnected)
         client_stream.last_event_id = request.resume_after
@@ -197,7 +199,7 @@
         """
         remaining = client_stream.deadline - steady_seconds()
         request = replace(client_stream.request, resume_after=client_stream.last_event_id)
-        outgoing = self._protocol.encode_plain(request, state.backend, remaining)
+        outgoing = self._protocol.encode_forwarded_request(request, state.backend, remaining)
         state.in_flight += 1
         stream: HttpResponseStream | None = None
         disconnect_watcher = gevent.spawn(
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -93,7 +93,7 @@
     request = ForwardedRequest("r", "POST", "/count/x", "host", (), _BODY, tenant="tenant")
 
     def check_quarantine() -> None:
-        identify = partial(quarantine.fingerprinter.of_plain, request)
+        identify = partial(quarantine.fingerprinter.of_forwarded_request, request)
         _ = quarantine.watch(identify, _SERVICE, request.request_id).quarantined
 
     costs = []
@@ -139,7 +139,7 @@
             for number in range(items)
         ),
         model=_MODEL,
-        minimum_version=1,
+        min_version=1,
     )
 
 
--- a/tests/jobs/test_scheduler.py
+++ b/tests/jobs/test_scheduler.py
@@ -32,7 +32,7 @@
     Scheduler,
 )
 from tests.jobs.test_job_service import JOB_ID, make_job
-from tests.open_quarantine import open_quarantine
+from tests.standalone_quarantine import standalone_quarantine
 
 SERVICE = "engines"
 DEAD_ADDRESS = Address("127.0.0.1", 1)
@@ -84,13 +84,18 @@
             UnusedProtocol(),
             None,
             lambda *key: False,
-            open_quarantine(),
+            standalone_quarantine(),
         )
         self.state = JobState(make_job())
 
     def _use_protocol(self, protocol):
         self.scheduler = Scheduler(
-            self.placement, self.routing, protocol, None, lambda *key: False, open_quarantine()
+            self.placement,
+            self.routing,
+            protocol,
+            None,
+            lambda *key: False,
+            standalone_quarantine(),
         )
         self.addCleanup(self.scheduler.stop)
 
@@ -186,12 +191,12 @@
         result = ItemResult(f"{JOB_ID}-0", ResultState.COMPLETED, "x", (1,), "score")
         self.scheduler._finish(task, result)
         self.assertEqual(list(self.scheduler.open_outputs()), [f"{JOB_ID}-0"])
-        self.assertFalse(self.scheduler.is_finished(f"{JOB_ID}-0"))
+        self.assertFalse(self.scheduler.is_result_listed(f"{JOB_ID}-0"))
         self.state.append_segment(list(self.state.unlisted))
         self.assertEqual(self.scheduler.open_outputs(), {})
-        self.assertTrue(self.scheduler.is_finished(f"{JOB_ID}-0"))
+        self.assertTrue(self.scheduler.is_result_listed(f"{JOB_ID}-0"))
         self.scheduler.add(JobState(make_job()))
-        self.assertFalse(self.scheduler.is_finished(f"{JOB_ID}-0"))
+        self.assertFalse(self.scheduler.is_result_listed(f"{JOB_ID}-0"))
 
     def test_without_a_configuration_items_wait(self):
         """Guards against failing items for a missing route before any configuration is loaded."""
@@ -297,7 +302,7 @@
     def test_other_jobs_are_scheduled_when_one_job_finds_no_engine(self):
         self._use_protocol(SilentProtocol())
         self.routing.apply(make_configuration())
-        without_engine = replace(make_job(), job_id="without-engine", minimum_version=2)
+        without_engine = replace(make_job(), job_id="without-engine", min_version=2)
         later = replace(make_job(), submitted_at=without_engine.submitted_at + 1.0)
         self.scheduler.add(JobState(without_engine))
         self.scheduler.add(JobState(later))
