--- a/src/runkeel_lab/users_platform/bench_journal.py
+++ b/src/runkeel_lab/users_platform/bench_journal.py
@@ -1,4 +1,4 @@
-"""Compares journal entries of the users' benchmark, as a table and as a chart."""
+"""Compares the scores in journal entries of the users' benchmark, as a table and as a chart."""
 
 from __future__ import annotations
 
@@ -23,7 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BenchDay:
-    """One day of an entry: its worth, the share of credit lost to prices, and broken rules."""
+    """One day of an entry.
+
+    Attributes:
+        slot: category of the day.
+        worth: score of the day, ``G`` in the journal.
+        prices: share of credit lost to prices.
+        broken: number of rule violations.
+    """
 
     name: str
     slot: str
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -192,9 +192,9 @@
         self._successors += 1
         self.former_servers.append(server)
         servers = self.engines if server in self.engines else self.applications
-        after = server.successor(self._successors, self.crashes.reuse_id)
-        after.start()
-        servers[servers.index(server)] = after
+        replacement = server.successor(self._successors, self.crashes.reuse_id)
+        replacement.start()
+        servers[servers.index(server)] = replacement
 
     def configure(self, content: dict[str, Any]) -> None:
         """Write a configuration to the store, as an operator does."""
--- a/src/runkeel_lab/users_platform/duty_server.py
+++ b/src/runkeel_lab/users_platform/duty_server.py
@@ -62,13 +62,17 @@
         return next((one.counts for one in self.reports if one.window == window), None)
 
     def problems(self) -> list[str]:
-        """Return violations of the platform's rules on singleton duties among the reports."""
+        """Return violations of the platform's rules for reports.
+
+        A window must always have the same counts. Fencing tokens must not decrease, and each must
+        belong to one holder.
+        """
         return [*self._conflicting_windows(), *self._token_violations()]
 
     def _conflicting_windows(self) -> list[str]:
         first: dict[int, dict[str, int]] = {}
         return [
-            f"window {one.window}: {one.counts} after {first[one.window]}"
+            f"window {one.window}: counts {one.counts} after {first[one.window]}"
             for one in self.reports
             if first.setdefault(one.window, one.counts) != one.counts
         ]
@@ -77,9 +81,11 @@
         problems = []
         for before, after in zip(self.reports, self.reports[1:], strict=False):
             if after.token < before.token:
-                problems.append(f"token {after.token} after {before.token}")
+                problems.append(f"fencing token {after.token} after {before.token}")
             if after.token == before.token and after.holder != before.holder:
-                problems.append(f"token {after.token} of {before.holder} and {after.holder}")
+                problems.append(
+                    f"fencing token {after.token} of both {before.holder} and {after.holder}"
+                )
         return problems
 
     def _handle_request(
--- a/src/runkeel_lab/users_platform/operations_soak.py
+++ b/src/runkeel_lab/users_platform/operations_soak.py
@@ -54,7 +54,7 @@
 """
 
 CUT_GRACE_SECONDS = 0.2
-"""A request sent less than this before its connection ended may have crossed the close."""
+"""A request sent less than this before its connection closed may still have been in transit."""
 
 MAX_ADDED_ROUTES = 4
 _REQUEST_INTERVAL_SECONDS = 0.08
@@ -137,7 +137,7 @@
         if status == 200:
             self._report.answered += 1
             if body != b"echo " + request_id.encode():
-                self._report_violation(f"{request_id} got the answer {body!r}")
+                self._report_violation(f"{request_id} got a response with body {body!r}")
 
     def check_failure(
         self, edge: str, request_id: str, sent_at: float, error: RunkeelError
@@ -152,7 +152,9 @@
         )
         seconds = steady_seconds() - sent_at
         if forwarded or seconds > CUT_GRACE_SECONDS:
-            self._report_violation(f"{request_id} was cut after {seconds:.2f} s: {error.detail}")
+            self._report_violation(
+                f"{request_id} was aborted after {seconds:.2f} s: {error.detail}"
+            )
 
     def _start_tasks(self, end: float) -> list[gevent.Greenlet]:
         clients = [_Client(self, edge, n) for edge in self._deployment.edge_names for n in range(2)]
@@ -263,7 +265,9 @@
                 if known is None:
                     continue
                 if known.version < seen.get(id(process), 0):
-                    self._report_violation(f"{name}: version {known.version} came back")
+                    self._report_violation(
+                        f"{name}: returned to older configuration {known.version}"
+                    )
                 seen[id(process)] = known.version
             gevent.sleep(_SAMPLE_INTERVAL_SECONDS)
 
@@ -291,4 +295,4 @@
         response = self._deployment.call(edge, "POST", f"{prefix}x", headers, b"rice")
         status = response.status if response is not None else 0
         if status != wanted:
-            self._report_violation(f"{edge}: {prefix} answers {status}, not {wanted}")
+            self._report_violation(f"{edge}: {prefix} gave status {status}, expected {wanted}")
--- a/src/runkeel_lab/users_platform/replay.py
+++ b/src/runkeel_lab/users_platform/replay.py
@@ -1,8 +1,8 @@
-"""Replays recorded traces and checks the outcomes stated in them.
+"""Replays recorded traces and checks for the outcomes recorded in them.
 
 Whether a single request fails depends on timing, so only a share of the requests that succeeded
-when recorded has to succeed again. Checked without tolerance: accepted jobs are read completely,
-each item once with its complete output, and non-idempotent requests run at most once.
+when recorded has to succeed again. Checked without tolerance: accepted jobs have exactly one result
+for each item, with its complete output, and non-idempotent requests run at most once.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 _SETTLE_TIMEOUT_SECONDS = 60.0
 _POLL_INTERVAL_SECONDS = 0.05
 _MAX_SUBMISSIONS = 5
-"""Submissions of a job that was accepted when recorded, as its trainer retries too."""
+"""Attempts to submit a job that was accepted when recorded, since a trainer retries too."""
 
 _RETRY_SECONDS = 0.5
 _STATUS_OK = "200"
@@ -91,12 +91,12 @@
             return
         self._answered.add(event.subject)
         if response.body != b"echo " + body:
-            self.violations.append(f"{event.subject} got the answer {response.body!r}")
+            self.violations.append(f"{event.subject} got a response with body {response.body!r}")
 
     def _check_jobs(self) -> None:
         for event in self._trace.events:
-            stated = event.act == "job" and event.outcome == COMPLETED
-            if stated and event.subject not in self._accepted:
+            expected = event.act == "job" and event.outcome == COMPLETED
+            if expected and event.subject not in self._accepted:
                 self.violations.append(f"{event.subject}: not accepted in {_MAX_SUBMISSIONS} tries")
         deadline = steady_seconds() + _SETTLE_TIMEOUT_SECONDS
         for job_id, items in self._accepted.items():
@@ -109,20 +109,22 @@
                 break
             gevent.sleep(_POLL_INTERVAL_SECONDS)
         if sorted(result["Id"] for result in results) != sorted(items):
-            self.violations.append(f"{job_id}: items {[one['Id'] for one in results]}")
+            self.violations.append(
+                f"{job_id}: wrong set of results: {[one['Id'] for one in results]}"
+            )
         for result in results:
             if result["State"] == COMPLETED and result["Text"] != complete_output(result["Id"]):
-                self.violations.append(f"{result['Id']}: text {result['Text']!r}")
+                self.violations.append(f"{result['Id']}: wrong output {result['Text']!r}")
 
     def _check_requests(self) -> None:
-        stated = {
+        expected = {
             event.subject
             for event in self._trace.events
             if event.act == "request" and event.outcome == _STATUS_OK
         }
-        missing = stated - self._answered
-        if len(missing) > (1.0 - _MIN_ANSWERED_SHARE) * len(stated):
-            self.violations.append(f"{len(missing)} of {len(stated)} requests not answered")
+        missing = expected - self._answered
+        if len(missing) > (1.0 - _MIN_ANSWERED_SHARE) * len(expected):
+            self.violations.append(f"{len(missing)} of {len(expected)} requests not answered")
         runs: dict[str, int] = {}
         for server in self._deployment.applications:
             for run in server.runs:
--- a/src/runkeel_lab/users_platform/running.py
+++ b/src/runkeel_lab/users_platform/running.py
@@ -51,6 +51,6 @@
         f"-d rice http://{edge.frontend_address}{COUNT_PREFIX}rice",
         f"  runkeel ctl 'show backends' --node http://{edge.metrics_address}",
         "",
-        "Ctrl-C stops it",
+        "Press Ctrl-C to stop.",
     ]
     return "\n".join(lines)
--- a/src/runkeel_lab/users_platform/soak.py
+++ b/src/runkeel_lab/users_platform/soak.py
@@ -141,7 +141,7 @@
             return
         self._report.answered += 1
         if response.body != b"echo " + body:
-            self._report_violation(f"{body!r} got the answer {response.body!r}")
+            self._report_violation(f"{body!r} got a response with body {response.body!r}")
 
     def _read_random_job(self) -> None:
         if self._accepted:
@@ -176,7 +176,7 @@
         for job_id, items in self._accepted.items():
             while len(self._read(job_id, self._edge()) or ()) < len(items):
                 if steady_seconds() > deadline:
-                    self._report_violation(f"{job_id}: not whole at the end")
+                    self._report_violation(f"{job_id}: results incomplete at the end")
                     break
                 gevent.sleep(0.05)
             for edge in self._deployment.edge_names:
@@ -186,16 +186,18 @@
     def _check_results(self, job_id: str, items: list[str]) -> None:
         results = self._seen.get(job_id, [])
         if sorted(result["Id"] for result in results) != sorted(items):
-            self._report_violation(f"{job_id}: items {[result['Id'] for result in results]}")
+            self._report_violation(
+                f"{job_id}: wrong set of results: {[result['Id'] for result in results]}"
+            )
         for result in results:
             if result["State"] != "completed":
                 self._report.failed_items += 1
                 continue
             self._report.completed_items += 1
             if result["Text"] != complete_output(result["Id"]):
-                self._report_violation(f"{result['Id']}: text {result['Text']!r}")
+                self._report_violation(f"{result['Id']}: wrong output {result['Text']!r}")
             if not result.get("Score", "").endswith(f".score-{result['Id']}"):
-                self._report_violation(f"{result['Id']}: score {result.get('Score')!r}")
+                self._report_violation(f"{result['Id']}: wrong score {result.get('Score')!r}")
 
     def _check_runs(self) -> None:
         runs: dict[str, int] = {}
@@ -216,7 +218,7 @@
             for before, after in zip(orders, orders[1:], strict=False):
                 if after.token < before.token:
                     self._report_violation(
-                        f"{engine.server_id}: token {after.token} after {before.token}"
+                        f"{engine.server_id}: fencing token {after.token} after {before.token}"
                     )
                 close = after.received_at - before.received_at < _ORDER_PAUSE_SECONDS
                 if before.holder != after.holder and close:
--- a/src/runkeel_lab/users_platform/store_server.py
+++ b/src/runkeel_lab/users_platform/store_server.py
@@ -34,10 +34,11 @@
         refused: every call gets 503 without being executed.
         silent: every call hangs without being executed.
         slow_seconds: added latency of every call, in seconds.
+        calls: number of calls received.
 
     Args:
-        behind: server whose store this one serves at a further address with faults of its own;
-            the faults of ``parent`` apply too.
+        parent: server whose store this one serves at another address. This one has faults of its
+            own; those of ``parent`` apply as well.
     """
 
     def __init__(self, seed: int, parent: StoreServer | None = None) -> None:
@@ -59,7 +60,7 @@
         return Address("127.0.0.1", self._server.server_port)
 
     def hang_watches(self, kind: str) -> None:
-        """Never respond to the watches that wait now; their connections stay open."""
+        """Withhold the responses to current watches of a kind, with their connections open."""
         self._hung_at[kind] = steady_seconds()
 
     def start(self) -> None:
