--- a/src/runkeel_lab/day_picture.py
+++ b/src/runkeel_lab/day_picture.py
@@ -17,7 +17,7 @@
 
 
 class RunChart:
-    """Collects events and draws them; times are steady time in seconds."""
+    """Collects events and draws them; times are those of the steady clock, in seconds."""
 
     def __init__(self) -> None:
         self._started_at = steady_seconds()
@@ -53,15 +53,15 @@
             latency_axes.scatter(
                 [one[0] for one in chosen], [1000 * one[1] for one in chosen], s=12, label=label
             )
-        latency_axes.set_ylabel("ms to the answer")
+        latency_axes.set_ylabel("response time in ms")
         latency_axes.set_yscale("log")
         latency_axes.legend(loc="upper right")
         for started, seconds, version in self._steps:
             step_axes.barh(version, seconds, left=started, height=0.5)
         for at, version in self._versions:
             step_axes.plot(at, version, marker="v", color="black")
-        step_axes.set_ylabel("weight version of a step")
-        step_axes.set_xlabel("s since the start")
+        step_axes.set_ylabel("weight version")
+        step_axes.set_xlabel("time since the start in s")
         for at, text in self._marks:
             for axes in (latency_axes, step_axes):
                 axes.axvline(at, color="grey", linewidth=0.6)
--- a/src/runkeel_lab/decisions.py
+++ b/src/runkeel_lab/decisions.py
@@ -53,7 +53,7 @@
 
 
 class _NullProtocol:
-    """Protocol that never sends, so that only the decision is timed."""
+    """Protocol whose runs block and send nothing, so that only the decision is timed."""
 
     def encode_generation(self, request: object, backend: Backend, remaining: float) -> None:
         gevent.sleep(3600.0)
@@ -78,11 +78,11 @@
         placement.choose(job, item, _SERVICE)
 
     costs = [
-        _measure_cost("choice of a server", engines, 0, choose_server),
-        _measure_cost("choice of an engine", engines, 0, choose_engine),
+        _measure_cost("server selection", engines, 0, choose_server),
+        _measure_cost("engine selection", engines, 0, choose_engine),
     ]
     scheduler = _saturated_scheduler(placement, directory, job)
-    costs.append(_measure_cost("wake with nothing to do", engines, waiting, scheduler._place_all))
+    costs.append(_measure_cost("placement, no free slot", engines, waiting, scheduler._place_all))
     scheduler.stop()
     return costs
 
@@ -100,7 +100,7 @@
     for records in (0, 1, MAX_RECORDS):
         for number in range(records):
             quarantine.ledger.record_crash(f"{number:032x}", _SERVICE, "server")
-        costs.append(_measure_cost("look at the quarantine", records, 0, check_quarantine))
+        costs.append(_measure_cost("quarantine check", records, 0, check_quarantine))
     return costs
 
 
--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -70,13 +70,13 @@
         """Run all parts and print the duration of each."""
         parts: tuple[tuple[str, Callable[[], None]], ...] = (
             ("lookups through every edge node", self._lookups),
-            ("two tenants, one key taken away", self._tenants),
-            ("a reservation whose answer is lost, and one that is refused", self._reservations),
+            ("two tenants, one key revoked", self._tenants),
+            ("reservations whose responses are lost, and one that is refused", self._reservations),
             ("three training steps, each on newer weights", self._train),
-            ("a server that leaves", self._drain),
-            ("a job sent while the store is away", self._outage),
-            ("the coordinator's death in the middle of a job", self._kill_coordinator),
-            ("what the tenants used", self._usage),
+            ("a draining server", self._drain),
+            ("a job submitted during a store outage", self._outage),
+            ("a coordinator failure during a job", self._kill_coordinator),
+            ("usage reports", self._usage),
         )
         for title, part in parts:
             started = steady_seconds()
@@ -125,7 +125,7 @@
         gevent.joinall(tasks)
         succeeded = sum(task.value == 200 for task in tasks)
         detail = f"{succeeded} of {len(ids)}"
-        self._check("whole answers to their own requests", succeeded == len(ids), detail)
+        self._check("responses complete and for the right request", succeeded == len(ids), detail)
 
     def _tenants(self) -> None:
         deployment = self._deployment
@@ -143,17 +143,19 @@
             "school"
         ]
         self._check(
-            "only known keys, servers told the tenant", holds, f"{statuses}, told {tenants_seen}"
+            "only known keys accepted, servers get the tenant",
+            holds,
+            f"{statuses}, tenants {tenants_seen}",
         )
         tenants = (_KITCHEN, tenant("school", SCHOOL_SECOND_KEY))
         deployment.configure(configuration(2, tenants=tenants))
         started = steady_seconds()
         self._wait(
-            "the refusal of a key that was taken away",
+            "refusal of the revoked key",
             lambda: self._send("edge-1", COUNT_PREFIX, "taken", SCHOOL_KEY) == 401,
         )
         detail = f"refused after {steady_seconds() - started:.2f} s"
-        self._check("a key that is taken away", True, detail)
+        self._check("revoked key refused", True, detail)
 
     def _usage(self) -> None:
         """Compare reported usage with the runs of the servers, once the last window is reported."""
@@ -172,12 +174,12 @@
                     totals[name] = totals.get(name, 0) + count
             return totals
 
-        self._wait("the report of the last window", lambda: reported() == expected)
+        self._wait("report of the last window", lambda: reported() == expected)
         problems = self._deployment.duties.problems()
         detail = (
             problems[0] if problems else f"{expected} in {len(self._deployment.duties.reports)}"
         )
-        self._check("usage reported once and in full", not problems, f"{detail} windows")
+        self._check("usage reported once and in full", not problems, f"{detail} reports")
 
     def _outage(self) -> None:
         items = [f"outage-g0-{number}" for number in range(8)]
@@ -191,15 +193,13 @@
             )
 
         try:
-            self._wait("the items' runs", lambda: ran() >= len(items))
+            self._wait("runs of all items", lambda: ran() >= len(items))
         finally:
             self._deployment.store.refused = False
         results = self._wait_for_results("outage", len(items))
         complete = sum(result.get("Text") == complete_output(result["Id"]) for result in results)
-        detail = f"status {status}, {complete} of {len(items)} whole once it was back"
-        self._check(
-            "a job is taken while the store is away", status == 202 and complete == 8, detail
-        )
+        detail = f"status {status}, {complete} of {len(items)} complete after the outage"
+        self._check("job accepted during a store outage", status == 202 and complete == 8, detail)
 
     def _reservations(self) -> None:
         servers = self._deployment.applications
@@ -211,7 +211,7 @@
             server.faults.lost_share = 0.0
         detail = f"statuses {sorted(set(lost))}, {sum(runs)} runs of {len(lost)}"
         self._check(
-            "what must not repeat ran once", set(lost) == {502} and set(runs) == {1}, detail
+            "non-idempotent requests ran once", set(lost) == {502} and set(runs) == {1}, detail
         )
         for server in servers:
             server.faults.refused = True
@@ -221,7 +221,7 @@
         gevent.sleep(0.2)
         runs_of_refused = self._runs("refused")
         detail = f"status {refused}, {runs_of_refused} runs"
-        self._check("told «not run», and not run", (refused, runs_of_refused) == (503, 0), detail)
+        self._check("refused request did not run", (refused, runs_of_refused) == (503, 0), detail)
 
     def _train(self) -> None:
         samples = 0
@@ -234,9 +234,9 @@
                 self._publish_version(step + 1)
         wanted = STEPS * GROUPS * GROUP_SIZE
         detail = f"{samples} of {wanted} samples in {STEPS} steps"
-        self._check("each step whole", samples == wanted, detail)
-        detail = problems[0] if problems else f"versions 1 to {STEPS}, each in its own step"
-        self._check("each sample labelled and scored truly", not problems, detail)
+        self._check("each step complete", samples == wanted, detail)
+        detail = problems[0] if problems else f"versions 1 to {STEPS}, one per step"
+        self._check("each sample has the right text, version and score", not problems, detail)
 
     def _run_step(self, version: int, job_id: str) -> list[dict]:
         started = steady_seconds()
@@ -262,11 +262,13 @@
         for result in results:
             name = result["Id"]
             if result.get("Text") != complete_output(name):
-                problems.append(f"{name}: text is not whole")
+                problems.append(f"{name}: text is incomplete or wrong")
             if result.get("WeightVersions") != [version]:
-                problems.append(f"{name}: versions {result.get('WeightVersions')}, not {version}")
+                problems.append(
+                    f"{name}: versions {result.get('WeightVersions')}, expected {version}"
+                )
             if not str(result.get("Score", "")).endswith(f".score-{name}"):
-                problems.append(f"{name}: score {result.get('Score')}")
+                problems.append(f"{name}: wrong score {result.get('Score')}")
         return problems
 
     def _publish_version(self, version: int) -> None:
@@ -277,10 +279,12 @@
         def engines_at_version() -> int:
             return sum(one.versions[MODEL] == version for one in self._deployment.engines)
 
-        self._wait(f"version {version} at an engine", engines_at_version)
+        self._wait(f"load of version {version} by an engine", engines_at_version)
         seconds = steady_seconds() - started
         self._chart.add_version(steady_seconds(), version)
-        self._check(f"engines follow version {version}", True, f"{seconds:.1f} s after its name")
+        self._check(
+            f"version {version} loaded by an engine", True, f"{seconds:.1f} s after publication"
+        )
 
     def _drain(self) -> None:
         server = self._deployment.applications[0]
@@ -294,7 +298,7 @@
         ]
         late = len(server.runs) - before
         holds = not late and set(statuses) == {200}
-        self._check("a server that leaves gets no new work", holds, f"{late} of 30 later requests")
+        self._check("draining server gets no new requests", holds, f"{late} of 30 later requests")
 
     def _kill_coordinator(self) -> None:
         for engine in self._deployment.engines:
@@ -306,16 +310,18 @@
         gevent.sleep(1.2)
         (victim,) = self._deployment.coordinators()
         self._deployment.kill_node(victim)
-        self._chart.add_mark(f"{victim} dies")
+        self._chart.add_mark(f"{victim} killed")
         results = self._wait_for_results("last", len(items))
         complete = sum(result.get("Text") == complete_output(result["Id"]) for result in results)
         resumed = sum(
             bool(run.resumed_after) for engine in self._deployment.engines for run in engine.runs
         )
         (successor,) = self._deployment.coordinators()
-        detail = f"{complete} of {len(items)} whole, {resumed} continued, by {successor}"
+        detail = f"{complete} of {len(items)} complete, {resumed} runs resumed, now by {successor}"
         self._check(
-            "a job outlives its coordinator", complete == len(items) and resumed > 0, detail
+            "job survives the loss of its coordinator",
+            complete == len(items) and resumed > 0,
+            detail,
         )
 
 
@@ -351,16 +357,14 @@
         deployment.stop()
     _print_checks(demo.checks, console)
     chart.write(out / "day.png")
-    console.print(
-        f"picture of the day: {out / 'day.png'}; {steady_seconds() - started:.1f} s in all"
-    )
+    console.print(f"chart: {out / 'day.png'}; {steady_seconds() - started:.1f} s in total")
     return all(check.holds for check in demo.checks)
 
 
 def _print_checks(checks: Sequence[Check], console: Console) -> None:
-    table = Table(title="seen by the clients and by the servers", title_justify="left")
-    table.add_column("what")
-    table.add_column("holds")
+    table = Table(title="checks of what clients and servers saw", title_justify="left")
+    table.add_column("check")
+    table.add_column("passed")
     table.add_column("evidence")
     for check in checks:
         table.add_row(check.name, "yes" if check.holds else "NO", check.evidence)
