--- a/tests/users_platform/__init__.py
+++ b/tests/users_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this part."""
+"""Tests of the platform adapter and of nodes on the stand-in platform."""
--- a/tests/users_platform/test_batch_jobs.py
+++ b/tests/users_platform/test_batch_jobs.py
@@ -76,7 +76,7 @@
         self.check_results(completed, [result["Id"] for result in completed])
 
     def test_late_events_of_an_earlier_run_are_ignored(self):
-        """The output of a resumed item contained the same event twice."""
+        """Guards against outputs of resumed items that contain an event twice."""
         deployment = self.start(engines=3)
         for engine in deployment.engines:
             engine.faults.lost_share = 0.4
@@ -86,7 +86,7 @@
         results = self.wait_for_results(deployment, "edge-0", "j12", len(items))
         self.check_results(results, items)
 
-    def test_engines_load_the_named_version_and_results_list_it(self):
+    def test_engines_load_the_published_version_and_results_list_it(self):
         deployment = self.start()
         deployment.publish_version(2)
         self.wait(lambda: all(e.versions["allocation"] == 2 for e in deployment.engines))
@@ -132,7 +132,7 @@
         self.assertEqual(results[: len(results_before)], results_before)
 
     def test_new_coordinator_resumes_long_items(self):
-        """After a failover the longest items ran from the start and missed their deadline."""
+        """Guards against items that start over after a failover and miss their deadline."""
         deployment = self.start(disks=2, engines=2)
         for engine in deployment.engines:
             engine.event_seconds = 0.05
@@ -146,7 +146,7 @@
         self.assertEqual({run.request_id for run in resumed}, set(items))
 
     def test_long_items_resume_after_all_storage_nodes_restart(self):
-        """Partial outputs were lost when all storage nodes lost power."""
+        """Guards against the loss of partial outputs when all storage nodes lose power."""
         deployment = self.start(disks=4, engines=2)
         disks = [name for name in deployment.node_names if name not in deployment.edge_names]
         for engine in deployment.engines:
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -113,7 +113,7 @@
         self.check_reached(target)
 
     def test_node_starts_while_no_source_of_quarantines_is_available(self):
-        """A node could learn the routes before the quarantines and serve a quarantined request."""
+        """Guards against a node that serves quarantined requests because it has only the routes."""
         target = f"{COUNT_PREFIX}crash"
         self.plan.paths.add(target)
         self.send_repeatedly(target, 6)
--- a/tests/users_platform/test_cut_zone.py
+++ b/tests/users_platform/test_cut_zone.py
@@ -20,11 +20,11 @@
         self.wait(lambda: all(self.knows_all_storage_nodes(node) for node in nodes))
         coordinator = self.deployment.coordinators()[0]
         # The partitioned zone elects its own coordinator, which is not the one that stores results.
-        self.cut_zone = next(zone for zone in ZONES if zone != self.zone_of(coordinator))
+        self.partitioned_zone = next(zone for zone in ZONES if zone != self.zone_of(coordinator))
         edges = self.deployment.edge_names
-        self.inside = next(one for one in edges if self.zone_of(one) == self.cut_zone)
-        self.outside = [one for one in edges if one != self.inside]
-        self.cut = False
+        self.edge_inside = next(one for one in edges if self.zone_of(one) == self.partitioned_zone)
+        self.edges_outside = [one for one in edges if one != self.edge_inside]
+        self.partitioned = False
         for node in nodes:
             self._inject_partition(node)
 
@@ -37,7 +37,7 @@
         call = node._network.call
 
         def partitioned_call(node_id, *arguments):
-            if self.cut and self.is_inside(node_id) != (node.zone == self.cut_zone):
+            if self.partitioned and self.is_inside(node_id) != (node.zone == self.partitioned_zone):
                 gevent.sleep(0.1)
                 raise not_run(ErrorCode.PEER_UNREACHABLE, node_id)
             return call(node_id, *arguments)
@@ -45,19 +45,19 @@
         node._network.call = partitioned_call
 
     def is_inside(self, name):
-        return self.zone_of(name) == self.cut_zone
+        return self.zone_of(name) == self.partitioned_zone
 
     def zone_of(self, name):
         return ZONES[int(name.partition("-")[2]) % len(ZONES)]
 
     def start_partition(self):
-        self.cut = True
+        self.partitioned = True
         for name in self.deployment.node_names:
             self.deployment.store_endpoint(name).refused = self.is_inside(name)
         gevent.sleep(0.5)
 
     def end_partition(self):
-        self.cut = False
+        self.partitioned = False
         for name in self.deployment.node_names:
             self.deployment.store_endpoint(name).refused = False
 
@@ -68,46 +68,48 @@
     def test_accepted_job_is_never_reported_as_unknown(self):
         self.start_partition()
         items = [f"cut-g{number}" for number in range(4)]
-        status = self.deployment.submit(self.inside, "cut", items)
-        statuses = {self.read_status(edge, "cut") for edge in self.outside}
+        status = self.deployment.submit(self.edge_inside, "cut", items)
+        statuses = {self.read_status(edge, "cut") for edge in self.edges_outside}
         if status == 202:
             self.assertNotIn(404, statuses)
         else:
             # Storage nodes of the zone have the job, so that it may still run.
             self.assertIn(status, (502, 504))
         self.end_partition()
-        self.wait(lambda: self.deployment.submit(self.inside, "cut", items) == 202)
-        results = self.wait_for_results(self.deployment, self.outside[0], "cut", len(items))
+        self.wait(lambda: self.deployment.submit(self.edge_inside, "cut", items) == 202)
+        results = self.wait_for_results(self.deployment, self.edges_outside[0], "cut", len(items))
         self.assertEqual({result["State"] for result in results}, {"completed"})
 
     def test_results_are_not_reported_as_missing_in_the_partitioned_zone(self):
-        """A job sent again to the partitioned zone was listed there as new, without results."""
+        """Guards against listing a resubmitted job there as new, without results."""
         items = [f"again-g{number}" for number in range(4)]
-        self.assertEqual(self.deployment.submit(self.outside[0], "again", items), 202)
-        all_results = self.wait_for_results(self.deployment, self.outside[0], "again", len(items))
+        self.assertEqual(self.deployment.submit(self.edges_outside[0], "again", items), 202)
+        all_results = self.wait_for_results(
+            self.deployment, self.edges_outside[0], "again", len(items)
+        )
         self.start_partition()
         gevent.sleep(2.0)
-        self.deployment.submit(self.inside, "again", items)
+        self.deployment.submit(self.edge_inside, "again", items)
         for _ in range(40):
-            results = self.deployment.results(self.inside, "again", 1)
+            results = self.deployment.results(self.edge_inside, "again", 1)
             self.assertIn(results, (None, all_results[1:]))
             gevent.sleep(0.1)
         self.end_partition()
-        self.wait(lambda: self.deployment.results(self.inside, "again", 1) == all_results[1:])
+        self.wait(lambda: self.deployment.results(self.edge_inside, "again", 1) == all_results[1:])
 
     def test_unknown_job_gives_404_during_a_partition(self):
         self.start_partition()
-        self.assertEqual(self.read_status(self.outside[0], "unknown"), 404)
+        self.assertEqual(self.read_status(self.edges_outside[0], "unknown"), 404)
         self.end_partition()
-        self.wait(lambda: self.read_status(self.inside, "unknown") == 404)
+        self.wait(lambda: self.read_status(self.edge_inside, "unknown") == 404)
 
     def test_job_is_accepted_across_zones_during_a_store_outage(self):
         self.deployment.store.refused = True
         gevent.sleep(0.5)
         items = [f"down-g{number}" for number in range(4)]
-        self.assertEqual(self.deployment.submit(self.inside, "down", items), 202)
+        self.assertEqual(self.deployment.submit(self.edge_inside, "down", items), 202)
         self.deployment.store.refused = False
-        self.wait_for_results(self.deployment, self.outside[0], "down", len(items))
+        self.wait_for_results(self.deployment, self.edges_outside[0], "down", len(items))
 
 
 if __name__ == "__main__":
--- a/tests/users_platform/test_deployment.py
+++ b/tests/users_platform/test_deployment.py
@@ -165,7 +165,7 @@
 
 
 class SilentWatchTest(DeploymentTestCase):
-    """Nodes missed changes for a long time after the response to a watch was lost."""
+    """Guards against nodes that miss changes for long after the response to a watch is lost."""
 
     def test_drain_reaches_nodes_with_silent_watches(self):
         deployment = self.start(applications=3)
--- a/tests/users_platform/test_planned_stop.py
+++ b/tests/users_platform/test_planned_stop.py
@@ -57,7 +57,7 @@
         return data
 
     def test_request_sent_while_the_listener_closes_completes(self):
-        """The process exited while a late request was still running."""
+        """Guards against an exit of the process while a late request is still running."""
         stop = self._stop()
         self._sleep_until(ROTATION_SECONDS - 0.05)
         sock = self._connect()
--- a/tests/users_platform/test_restarted_servers.py
+++ b/tests/users_platform/test_restarted_servers.py
@@ -11,7 +11,7 @@
 
 
 class CrashingRequestSameIdTest(CrashingRequestTest):
-    """A request that crashes servers that restart under their id; their entries stay."""
+    """The same tests with servers that restart under their old id, so that their entries stay."""
 
     def setUp(self):
         super().setUp()
@@ -61,7 +61,7 @@
         self.assertEqual([self.status(), self.status("edge-1")], [200, 200])
 
     def test_restarted_engines_receive_items(self):
-        """Restarted engines were still treated as crashed and got no items."""
+        """Guards against restarted engines that are still treated as crashed and get no items."""
         for engine in list(self.deployment.engines):
             self.restart(engine)
         items = [f"job-g{n // 4}-{n}" for n in range(ITEMS)]
--- a/tests/users_platform/test_store_outage.py
+++ b/tests/users_platform/test_store_outage.py
@@ -94,7 +94,7 @@
         self.assertIsNone(deployment.results("edge-0", "o4"))
 
     def test_items_and_jobs_continue_without_store_and_coordinator(self):
-        """The coordinator was replaced during a store outage."""
+        """Guards against jobs that stop when the coordinator is lost during a store outage."""
         deployment = self.start_with_known_storage(disks=3, engines=2)
         for engine in deployment.engines:
             engine.event_seconds = 0.05
