--- a/src/runkeel_lab/cli.py
+++ b/src/runkeel_lab/cli.py
@@ -169,7 +169,7 @@
 
 
 def worth(*entries: Path, picture: Path | None = None) -> int:
-    """Compare the worth of the days in journal entries of the users' benchmark.
+    """Compare the worth (score) of the days in journal entries of the users' benchmark.
 
     Example: ``runkeel-lab worth journal/*-29040c96.json --picture out/worth.png``
 
--- a/src/runkeel_lab/story.py
+++ b/src/runkeel_lab/story.py
@@ -62,7 +62,7 @@
 def format_story(story: list[dict[str, Any]]) -> str:
     """Format each log line as one line of text, with times in seconds from the first."""
     if not story:
-        return "nothing is known of this id"
+        return "no log line mentions this id"
     start = story[0]["time"]
     rows = []
     for line in story:
--- a/src/runkeel_lab/users_platform/crashes.py
+++ b/src/runkeel_lab/users_platform/crashes.py
@@ -26,17 +26,17 @@
 
     Attributes:
         paths: a request to one of these paths crashes the server that runs it.
-        seconds: time from the start of the run to the crash.
+        crash_delay_seconds: time from the start of the run to the crash.
         restart_seconds: time from the crash to the start of the replacement.
         reuse_id: whether the replacement is started under the same id.
         reached: one event for each time that a server started to run a crashing request.
         ended: one event for each crash by a request.
     """
 
-    def __init__(self, on_ended: Callable[[Any], None]) -> None:
-        self._on_ended = on_ended
+    def __init__(self, on_crash: Callable[[Any], None]) -> None:
+        self._on_crash = on_crash
         self.paths: set[str] = set()
-        self.seconds = 0.02
+        self.crash_delay_seconds = 0.02
         self.restart_seconds = 0.4
         self.reuse_id = False
         self.reached: list[CrashEvent] = []
@@ -53,12 +53,12 @@
     def record_crash(self, path: str, server: Any) -> None:
         """Record that a server has crashed, and start its replacement."""
         self.ended.append(CrashEvent(steady_seconds(), path, server.server_id))
-        self._on_ended(server)
+        self._on_crash(server)
 
-    def count_late_runs(self, path: str, seconds: float, ends: int = 3) -> int:
-        """Count the runs started more than ``seconds`` after the ``ends``-th crash."""
+    def count_late_runs(self, path: str, seconds: float, crash_count: int = 3) -> int:
+        """Count the runs of a path that started over ``seconds`` after crash ``crash_count``."""
         of_path = [event.at for event in self.ended if event.path == path]
-        if len(of_path) < ends:
+        if len(of_path) < crash_count:
             return 0
-        limit = of_path[ends - 1] + seconds
+        limit = of_path[crash_count - 1] + seconds
         return sum(1 for event in self.reached if event.path == path and event.at > limit)
--- a/src/runkeel_lab/users_platform/operations_soak.py
+++ b/src/runkeel_lab/users_platform/operations_soak.py
@@ -8,7 +8,7 @@
 Checked in addition to :mod:`runkeel_lab.users_platform.soak`:
 
 - A process never returns to an older configuration.
-- A planned stop aborts no request that was forwarded, or sent more than ``CUT_GRACE_SECONDS``
+- A planned stop aborts no request that was forwarded, or sent more than ``ABORT_GRACE_SECONDS``
   before the connection ended.
 - After recovery, every node serves all current plain routes and none that was removed.
 """
@@ -53,7 +53,7 @@
 The platform guarantees at most 2 s.
 """
 
-CUT_GRACE_SECONDS = 0.2
+ABORT_GRACE_SECONDS = 0.2
 """A request sent less than this before its connection closed may still have been in transit."""
 
 MAX_ADDED_ROUTES = 4
@@ -151,7 +151,7 @@
             for run in server.runs
         )
         seconds = steady_seconds() - sent_at
-        if forwarded or seconds > CUT_GRACE_SECONDS:
+        if forwarded or seconds > ABORT_GRACE_SECONDS:
             self._report_violation(
                 f"{request_id} was aborted after {seconds:.2f} s: {error.detail}"
             )
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -223,7 +223,7 @@
         environment["wsgi.input"].read()
         self.crash_plan.record_reached(environment["PATH_INFO"], self.server_id)
         self._record_run(environment)
-        gevent.sleep(self.crash_plan.seconds)
+        gevent.sleep(self.crash_plan.crash_delay_seconds)
         if not self.ended:
             self.crash()
             self.crash_plan.record_crash(environment["PATH_INFO"], self)
--- a/tests/lab/test_story.py
+++ b/tests/lab/test_story.py
@@ -37,7 +37,7 @@
 
     def test_unknown_id(self):
         self.assertEqual(collect_story(self._read(), "none"), [])
-        self.assertIn("nothing is known", format_story([]))
+        self.assertIn("no log line mentions this id", format_story([]))
 
     def test_format(self):
         text = format_story(collect_story(self._read(), "j1"))
