--- a/src/runkeel/decision_log.py
+++ b/src/runkeel/structured_log.py
@@ -106,7 +106,7 @@
         return True
 
 
-def configure_decision_log(node_id: str, zone: str, descriptor: int | None = None) -> None:
+def configure_structured_log(node_id: str, zone: str, descriptor: int | None = None) -> None:
     """Write all log lines as JSON to a file descriptor, standard output by default."""
     bucket = ByteTokenBucket(MAX_BYTES_PER_SECOND, BURST_BYTES, WARNING_RESERVE_BYTES)
     writer = LineWriter(sys.stdout.fileno() if descriptor is None else descriptor, bucket)
--- a/tests/base/test_decision_log.py
+++ b/tests/base/test_structured_log.py
@@ -1,11 +1,11 @@
-"""The decision log is rate-limited and never blocks on its reader."""
+"""The structured log is rate-limited and never blocks on its reader."""
 
 import json
 import os
 import unittest
 
 from runkeel.clock import steady_seconds
-from runkeel.decision_log import ByteTokenBucket, LineWriter
+from runkeel.structured_log import ByteTokenBucket, LineWriter
 
 LINE_COUNT = 5_000
 
