--- a/src/runkeel/coordination/election.py
+++ b/src/runkeel/coordination/election.py
@@ -2,9 +2,9 @@
 
 Every node watches the coordinator's document and pings the coordinator. The coordinator ranks the
 nodes that ping it; when it stops answering, or reports that it has lost the store, the first node
-in rank replaces it by compare-and-swap. Two nodes may briefly both act as coordinator: the results
-of jobs, and the orders to engines to load a version, are protected by conditional writes of their
-own.
+in rank replaces it by compare-and-swap. Two nodes may briefly both act as coordinator. This is
+safe, since the results of jobs and the orders to engines to load a version are protected by
+conditional writes of their own.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from runkeel.coordination.advertised_nodes import AdvertisedNodes
 from runkeel.coordination.coordinator_document import Coordinator
 from runkeel.coordination.overlay import Overlay, neighbours_digest
-from runkeel.coordination.peers import LAST_RANK, PeerRegistry
+from runkeel.coordination.peers import UNRANKED, PeerRegistry
 from runkeel.coordination.pings import PingSender
 from runkeel.coordination.succession import Succession
 from runkeel.coordination.tentative_term import STORE_CHECK_INTERVAL_SECONDS, TentativeTerm
@@ -61,13 +61,13 @@
 """Ping interval of the first node in rank; shorter, as it replaces the coordinator first."""
 
 UNRANKED_PING_INTERVAL_SECONDS = 1.0
-"""Minimum ping interval of unranked nodes, which do not take over first."""
+"""Minimum ping interval of unranked nodes, which are not among the first three successors."""
 
 MAX_UNRANKED_PINGS_PER_SECOND = 60
 """Bound on the pings of all unranked nodes together; their interval grows with their number."""
 
 SILENT_PING_INTERVALS = 2.2
-"""A node counts as silent after this many ping intervals without a ping."""
+"""A node counts as silent after this many unranked ping intervals without a ping."""
 
 PING_RETRY_SECONDS = 0.05
 """Ping interval while pings fail."""
@@ -79,10 +79,10 @@
 """How long a confirmation by the store stays valid."""
 
 WITNESS_TIMEOUT_SECONDS = 0.8
-"""Timeout of the queries to witnesses, which ping the coordinator themselves."""
+"""Timeout of the queries to witnesses: other nodes that ping the coordinator before they answer."""
 
-MAX_QUERIED_SUCCESSORS = 2
-"""Number of successors that a node queries to learn whether one of them coordinates now."""
+MAX_LIKELY_SUCCESSORS = 2
+"""Number of successors that nodes query first and that get copies of the open jobs."""
 
 STORAGE_NODES_SETTLE_SECONDS = 3.0
 """How long after its start a node's list of storage nodes may be incomplete."""
@@ -104,7 +104,11 @@
 """
 
 NOT_PREFERRED_START_DELAY_SECONDS = 1.5
-"""Delay of a node that is not preferred when it starts and there is no coordinator."""
+"""Delay of a node that is not preferred when it starts and there is no coordinator.
+
+It begins with the first read of the coordinator's document, so it adds to the delay that
+:meth:`Election.start` gets.
+"""
 
 CLAIM_TIMEOUT_SECONDS = 0.6
 """Timeout of a claim; a claim that the store applies after that is still recognized."""
@@ -241,7 +245,7 @@
         self._started_at = steady_seconds()
         self._store_probed = False
         """Whether the store was probed since the coordinator last served."""
-        self._stopping = False
+        self._leaving = False
         self._coordinating_since = 0.0
         self._task: gevent.Greenlet | None = None
         self._starter: gevent.Greenlet | None = None
@@ -264,7 +268,7 @@
 
     @property
     def other_coordinator(self) -> Coordinator | None:
-        """The latest coordinator known to this node; None if that is this node."""
+        """The latest coordinator known to this node; None if none is known or it is this node."""
         known = self._coordinator
         if self.coordinating or known is None or known.node_id == self._node_id:
             return None
@@ -305,9 +309,10 @@
 
     @property
     def known_successor(self) -> Coordinator | None:
-        """Same as :attr:`other_coordinator`: the node to which this node refers its followers.
+        """Coordinator to which this node refers its followers.
 
-        It has not necessarily replaced this node, which may never have coordinated.
+        Same as :attr:`other_coordinator`: it has not necessarily replaced this node, which may
+        never have coordinated.
         """
         return None if self.coordinating else self.other_coordinator
 
@@ -334,15 +339,17 @@
 
         The coordinator sends them copies of the open jobs, and nodes query them first.
         """
-        return [one.node_id for one in self._peers.successors()[:MAX_QUERIED_SUCCESSORS]]
+        return [one.node_id for one in self._peers.successors()[:MAX_LIKELY_SUCCESSORS]]
 
     def storage_nodes(self) -> KnownStorageNodes:
         """Return the known storage nodes, which keep hints of jobs that are not in the store yet.
 
-        They are the coordinator, its successors and, if it is preferred, this node.
+        They are the coordinator, its successors and, if it is preferred, this node. The list counts
+        as complete once this node has run for :data:`STORAGE_NODES_SETTLE_SECONDS` and either
+        coordinates or has received an answer from a coordinator.
         """
         known = self._coordinator
-        known_storage_nodes = [
+        advertised = [
             StorageNode(one.node_id, one.zone) for one in self._advertised.successor_addresses
         ]
         if self.coordinating:
@@ -352,12 +359,12 @@
             known_storage_nodes = [
                 StorageNode(self._node_id, self._zone),
                 *own_successors,
-                *known_storage_nodes,
+                *advertised,
             ]
         else:
             own = [StorageNode(self._node_id, self._zone)] if self._preferred else []
             leading = [StorageNode(known.node_id, known.zone)] if known is not None else []
-            known_storage_nodes = [*own, *leading, *known_storage_nodes]
+            known_storage_nodes = [*own, *leading, *advertised]
         complete = self.coordinating or self._advertised.received_any
         settled = steady_seconds() - self._started_at >= STORAGE_NODES_SETTLE_SECONDS
         # A node may appear in more than one of these lists; the first entry counts.
@@ -385,8 +392,8 @@
     @property
     def known_epoch(self) -> int:
         """Epoch of the latest term known to this node."""
-        announced = self._coordinator.epoch if self._coordinator is not None else 0
-        return max(announced, self._epoch)
+        coordinator_epoch = self._coordinator.epoch if self._coordinator is not None else 0
+        return max(coordinator_epoch, self._epoch)
 
     def peer_address(self, node_id: str) -> tuple[Address, str] | None:
         """Return the address and zone of a node, for the peer network."""
@@ -414,10 +421,10 @@
         self._task = gevent.spawn(self._run)
 
     def leave(self) -> None:
-        """Step down for a planned stop, so that a successor can take over at once."""
-        self._stopping = True
-        self._tentative.end("this node is stopping")
-        self._step_down("this node is stopping")
+        """Step down and claim no further term, so that a successor can take over at once."""
+        self._leaving = True
+        self._tentative.end("this node hands over coordination")
+        self._step_down("this node hands over coordination")
 
     def stop(self) -> None:
         """Stop the background tasks."""
@@ -430,21 +437,21 @@
     def _on_document_changed(self, document: Document, removed: bool) -> None:
         if removed or document.name != self._shard:
             return
-        announced = Coordinator.from_document(document)
-        if self._coordinator is not None and announced.epoch < self._coordinator.epoch:
+        stored = Coordinator.from_document(document)
+        if self._coordinator is not None and stored.epoch < self._coordinator.epoch:
             # The store's update is older than what a later coordinator has announced.
             return
-        self._set_coordinator(announced)
+        self._set_coordinator(stored)
 
-    def _set_coordinator(self, announced: Coordinator) -> None:
+    def _set_coordinator(self, latest: Coordinator) -> None:
         """Adopt a coordinator, and step down if its term is later than this node's."""
         before = self._coordinator
-        self._coordinator = announced
-        if self._epoch and announced.epoch > self._epoch:
-            self._step_down(f"{announced.node_id} took over")
-        if announced.epoch >= self._tentative.epoch and not self._is_pending_claim(announced):
-            self._tentative.end(f"{announced.node_id} took over")
-        if before is None or before.epoch != announced.epoch:
+        self._coordinator = latest
+        if self._epoch and latest.epoch > self._epoch:
+            self._step_down(f"{latest.node_id} took over")
+        if latest.epoch >= self._tentative.epoch and not self._is_pending_claim(latest):
+            self._tentative.end(f"{latest.node_id} took over")
+        if before is None or before.epoch != latest.epoch:
             for listener in self._listeners:
                 listener()
 
@@ -458,7 +465,7 @@
         seen_epoch = 0
         while True:
             known = self._coordinator
-            if self._stopping or self.coordinating:
+            if self._leaving or self.coordinating:
                 self._succession.note_contact()
                 gevent.sleep(PING_INTERVAL_SECONDS)
                 continue
@@ -548,9 +555,9 @@
         if pong.coordinator:
             self._on_quarantine_digest(known.node_id, pong.quarantine_digest or 0)
 
-    def _is_pending_claim(self, announced: Coordinator) -> bool:
-        """Return whether a coordinator is this process's own claim that is still unanswered."""
-        return announced.node_id == self._node_id and announced.epoch == self._pending_claim_epoch
+    def _is_pending_claim(self, holder: Coordinator) -> bool:
+        """Return whether this coordinator stems from this process's own unanswered claim."""
+        return holder.node_id == self._node_id and holder.epoch == self._pending_claim_epoch
 
     def _probe_store(self) -> None:
         """Call the store, so that its reachability, which each call updates, is current."""
@@ -576,7 +583,7 @@
         others = [
             one for one in self._advertised.successors if one not in (self._node_id, known.node_id)
         ]
-        answers = self._pings.ping_all(others[:MAX_QUERIED_SUCCESSORS], known.epoch)
+        answers = self._pings.ping_all(others[:MAX_LIKELY_SUCCESSORS], known.epoch)
         for node_id, pong in answers.items():
             if pong.coordinator and pong.epoch > known.epoch:
                 self.note_successor(self._advertised.address(node_id), pong.epoch)
@@ -613,14 +620,14 @@
             self._step_down(f"{peer} knows epoch {ping.epoch}")
         rank = self._peers.record_ping(peer, ping.sender, ping.preferred)
         interval = PING_INTERVAL_SECONDS if rank else FIRST_RANK_PING_INTERVAL_SECONDS
-        if rank == LAST_RANK:
+        if rank == UNRANKED:
             interval = self._unranked_ping_interval()
         lease_revision, lease_age = self._lease.confirmation
         pong = CoordinatorPong(
             self.coordinating,
             rank,
             int(interval * 1000),
-            self._reaches_store() and not self._stopping,
+            self._reaches_store() and not self._leaving,
             self._peers.witnesses_for(peer),
             lease_revision,
             int(lease_age * 1000),
@@ -685,10 +692,10 @@
         """
         if document is None or document.name != self._shard or epoch != self._pending_claim_epoch:
             return False
-        announced = Coordinator.from_document(document)
-        if announced.epoch != epoch or not self._is_pending_claim(announced):
+        stored = Coordinator.from_document(document)
+        if stored.epoch != epoch or not self._is_pending_claim(stored):
             return False
-        self._coordinator = announced
+        self._coordinator = stored
         return True
 
     def _become_coordinator(self, epoch: int, reason: str) -> None:
--- a/src/runkeel/coordination/peers.py
+++ b/src/runkeel/coordination/peers.py
@@ -7,8 +7,8 @@
 from runkeel.clock import steady_seconds
 from runkeel.wire.generated.jobs.ttypes import NodeAddress
 
-LAST_RANK = 3
-"""Rank of all nodes that are not among the first three, called unranked.
+UNRANKED = 3
+"""Rank of all nodes that are not among the first three successors.
 
 They ping less often and take over later.
 """
@@ -75,14 +75,14 @@
     def record_ping(self, node_id: str, address: NodeAddress, preferred: bool) -> int:
         """Record a ping; returns the node's rank.
 
-        That is its position in the order of succession, :data:`LAST_RANK` at most.
+        That is its position in the order of succession, or :data:`UNRANKED`.
         """
         known = self._peers.setdefault(node_id, _Peer(preferred, address))
         known.address = address
         known.seen_at = steady_seconds()
         if not preferred:
-            return LAST_RANK
-        return min(self._succession().index(node_id), LAST_RANK)
+            return UNRANKED
+        return min(self._succession().index(node_id), UNRANKED)
 
     def count_silent(self, seconds: float) -> int:
         """Return how many nodes have not pinged for ``seconds``, but have not expired yet."""
--- a/src/runkeel/coordination/succession.py
+++ b/src/runkeel/coordination/succession.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from runkeel.clock import steady_seconds
-from runkeel.coordination.peers import LAST_RANK
+from runkeel.coordination.peers import UNRANKED
 from runkeel.wire.generated.jobs.ttypes import CoordinatorPong
 
 SILENCE_TIMEOUT_SECONDS = 0.6
@@ -49,7 +49,7 @@
     def __init__(self, preferred: bool, reaches_store: Callable[[], bool]) -> None:
         self._preferred = preferred
         self._reaches_store = reaches_store
-        self._rank = LAST_RANK
+        self._rank = UNRANKED
         self._last_contact = 0.0
         self._failing_since = 0.0
         self._coordinator_lost_store_at = 0.0
@@ -72,7 +72,7 @@
     @property
     def may_serve_tentatively(self) -> bool:
         """Whether this node is due to start a tentative term without the store."""
-        if self._reaches_store() or self._rank >= LAST_RANK or not self._failing_since:
+        if self._reaches_store() or self._rank >= UNRANKED or not self._failing_since:
             return False
         rank_delay = (
             SILENCE_TIMEOUT_SECONDS + TENTATIVE_DELAY_SECONDS + RANK_DELAY_SECONDS * self._rank
