--- a/src/runkeel/coordination/order_lease.py
+++ b/src/runkeel/coordination/order_lease.py
@@ -2,8 +2,8 @@
 
 Engines are not required to check fencing tokens, so the sender enforces the lease. A holder may
 send an order only within :data:`VALIDITY_SECONDS` of the start of a write that confirmed its lease.
-A new holder waits until the previous holder's last confirmation is no longer valid, plus the
-configured pause between two holders.
+A new holder sends no orders until the previous holder's last confirmation has expired and the
+configured pause between two holders has passed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,10 @@
 from runkeel.errors import ErrorCode, not_run
 
 VALIDITY_SECONDS = 0.6
-"""How long after a confirmation orders may be sent; a new holder waits at least this long."""
+"""How long after the start of a confirming write orders may be sent.
+
+A new holder waits at least this long.
+"""
 
 MARGIN_SECONDS = 0.2
 """Additional wait of a new holder, for orders of the previous one that are in transit."""
@@ -64,7 +67,9 @@
         return int(self._claim.content["token"]) if self._claim else 0
 
     def confirm(self) -> None:
-        """Renew or acquire the lease.
+        """Renew the lease, or take it, even from another holder.
+
+        If another node held it, orders are possible only after a pause.
 
         Raises:
             RunkeelError: the store did not answer, or another node took the lease.
@@ -78,8 +83,8 @@
             self._acquire(started)
             return
         claim = self._claim
-        pause_over = not claim.content["pause"]
-        if pause_over and started - claim.confirmed_at <= CONFIRMATION_REUSE_SECONDS:
+        pause_end_stored = not claim.content["pause"]
+        if pause_end_stored and started - claim.confirmed_at <= CONFIRMATION_REUSE_SECONDS:
             return
         content = claim.content
         if content["pause"] and started >= claim.orders_from:
@@ -95,7 +100,10 @@
         self._claim = _Claim(content, stored.revision, started, claim.orders_from)
 
     def seconds_until_orders(self) -> float:
-        """Return how many seconds this node has to wait before its first order."""
+        """Return how many seconds this node has to wait before its first order.
+
+        This is an estimate while this node has no claim.
+        """
         if self._claim is None:
             return self._pause_seconds
         return max(0.0, self._claim.orders_from - steady_seconds())
@@ -143,7 +151,7 @@
         self._take_over(current, started)
 
     def _resolve_conflict(self, conflict: DocumentConflictError, started: float) -> None:
-        """Handle a conflict with this node's own write, whose answer was lost, or another holder.
+        """Handle a conflict: with another holder, or with an own write whose answer was lost.
 
         Raises:
             RunkeelError: another node holds the lease, or the store did not answer.
@@ -197,7 +205,7 @@
         self._takeover_unconfirmed = False
         self._claim = _Claim(content, stored.revision, started, steady_seconds() + pause)
         logger.info(
-            "order lease acquired",
+            "order lease acquired or found held",
             code="order_lease",
             token=self.token,
             revision=stored.revision,
@@ -205,6 +213,11 @@
         )
 
     def _content(self, token: int, pause: float) -> dict[str, Any]:
+        """Build the content of the lease.
+
+        Args:
+            pause: seconds before the first order; 0 once they have passed.
+        """
         return {
             "holder": self._holder,
             "token": token,
--- a/src/runkeel/coordination/rollout_plan.py
+++ b/src/runkeel/coordination/rollout_plan.py
@@ -6,8 +6,9 @@
 large fleet only as many engines take part as the model's jobs can fill.
 
 An engine takes one order at a time, and the number of concurrent loads is limited. The models of a
-service share these loads: the next one goes to the model with the smallest share of the engines
-that it needs.
+service share these loads. Models with urgent engines, whose version is no longer accepted, go
+before the others; within each group, the model with the smallest share of the engines that it needs
+goes first.
 """
 
 from __future__ import annotations
@@ -81,8 +82,9 @@
     """The engines of one model that are to change.
 
     Attributes:
-        needed: number of engines that the model's jobs can fill.
-        usable: number of these that have, or are changing to, an accepted version.
+        needed: number of engines that the model's jobs can fill; all if there was no job yet.
+        usable: number of these that have, or are changing to, an accepted version and have not
+            failed recently.
         urgent: engines whose version is no longer accepted, in the order of their changes.
         due: engines that change after the urgent ones.
     """
@@ -95,8 +97,8 @@
     due: list[BackendState] = field(default_factory=list)
 
     @property
-    def urgency(self) -> tuple[bool, float]:
-        """Sort key of models: the smallest goes first."""
+    def sort_key(self) -> tuple[bool, float]:
+        """Sort key of models; the next load goes to the model with the smallest."""
         return not self.urgent, self.usable / max(1, self.needed)
 
     def pop_next(self, taken: set[str]) -> BackendState | None:
@@ -132,7 +134,7 @@
     changes: list[PlannedChange] = []
     taken: set[str] = set()
     while plans and len(changes) < max_changes:
-        plan = min(plans, key=lambda one: one.urgency)
+        plan = min(plans, key=lambda one: one.sort_key)
         state = plan.pop_next(taken)
         if state is None:
             plans.remove(plan)
@@ -145,13 +147,13 @@
 def _plan_model(
     model: str, target: int, demand: ModelDemand, statuses: list[EngineStatus]
 ) -> _ModelPlan:
-    in_use = _in_use(model, demand, statuses)
+    selected = _select_engines(model, demand, statuses)
     floor = max(target - demand.max_version_lag, demand.minimum_version)
-    usable = sum(1 for one in in_use if one.version >= floor and not one.avoided)
-    plan = _ModelPlan(model, target, len(in_use), usable)
-    quota = -(-len(in_use) // (demand.max_version_lag + 1))
-    quota -= sum(1 for one in in_use if one.version >= target)
-    behind = [one for one in in_use if one.version < target]
+    usable = sum(1 for one in selected if one.version >= floor and not one.avoided)
+    plan = _ModelPlan(model, target, len(selected), usable)
+    quota = -(-len(selected) // (demand.max_version_lag + 1))
+    quota -= sum(1 for one in selected if one.version >= target)
+    behind = [one for one in selected if one.version < target]
     behind.sort(key=lambda one: (one.version, one.running))
     for one in behind:
         urgent = one.version < floor
@@ -163,11 +165,13 @@
     return plan
 
 
-def _in_use(model: str, demand: ModelDemand, statuses: list[EngineStatus]) -> list[EngineStatus]:
-    """Return as many engines as the model's jobs can fill, newest versions first.
+def _select_engines(
+    model: str, demand: ModelDemand, statuses: list[EngineStatus]
+) -> list[EngineStatus]:
+    """Return as many engines as the model's jobs can fill, all if there was no job yet.
 
-    Engines that have failed recently come last. Ties are broken by a preference that differs
-    between models, so that they share the fleet.
+    Engines with the newest versions are selected first, and engines that have failed recently last.
+    Ties are broken by a preference that differs between models, so that they share the fleet.
     """
     if demand.items is None:
         return statuses
--- a/tests/coordination/test_order_lease.py
+++ b/tests/coordination/test_order_lease.py
@@ -56,7 +56,7 @@
         lease.check()
 
     def test_recent_confirmation_is_reused(self):
-        """Not every order may cost a call to the store."""
+        """Orders in quick succession must not each cost a call to the store."""
         lease = self._lease("a")
         lease.confirm()
         revision = self.store.revision
@@ -70,7 +70,7 @@
         self.clock.now += VALIDITY_SECONDS
         lease.check()
 
-    def test_new_holder_confirms_until_the_end_of_its_pause_is_stored(self):
+    def test_end_of_the_pause_is_stored(self):
         self._lease("a").confirm()
         lease = self._lease("b")
         lease.confirm()
