--- a/src/runkeel/coordination/feed_follower.py
+++ b/src/runkeel/coordination/feed_follower.py
@@ -60,7 +60,7 @@
 The grace period starts at the first failed read. It is shorter than this share by the maximum age
 of the coordinator's copy, since the copy may already be that old; see :func:`grace_seconds`. Most
 feeds recover within it, from the same coordinator or its successor. Without it, many nodes would
-read the store at once.
+read the store at once. It is 0 for a propagation time of up to 2 s.
 """
 
 START_GRACE_SECONDS = 1.0
@@ -96,7 +96,8 @@
     """Keeps this node's copies up to date from the coordinator's feed, in one background task.
 
     Args:
-        coordinator: returns the coordinator known to this node; None if that is this node.
+        coordinator: returns the coordinator known to this node; None if none is known
+            or it is this node.
         hold_seconds: how long the coordinator may hold a reply.
         grace_seconds: how long to wait for a lost feed before the store is read.
         on_successor: called with the address and epoch of the successor that a replaced
@@ -104,8 +105,8 @@
 
     Attributes:
         store_needed: set while the watchers have to watch the store themselves.
-        coordinator_needed: the same for the watcher of the coordinator's document, which watches
-            the store from the start.
+        store_needed_for_coordinator: the same for the watcher of the coordinator's document, which
+            watches the store from the start.
     """
 
     def __init__(
@@ -131,8 +132,8 @@
         self._started_at = 0.0
         self._watchers_suspended = False
         self.store_needed = Event()
-        self.coordinator_needed = Event()
-        self.coordinator_needed.set()
+        self.store_needed_for_coordinator = Event()
+        self.store_needed_for_coordinator.set()
 
     @property
     def following(self) -> bool:
@@ -158,12 +159,12 @@
     def use_store(self, reason: str) -> None:
         """Have the watchers watch the store themselves."""
         if self._watchers_suspended or not self.store_needed.is_set():
-            logger.info("feed lost; watching the store directly", code="feed_lost", reason=reason)
+            logger.info("watching the store directly", code="feed_lost", reason=reason)
         self._watchers_suspended = False
         self._lost_at = 0.0
         self._comparison.reset()
         self.store_needed.set()
-        self.coordinator_needed.set()
+        self.store_needed_for_coordinator.set()
 
     def _run(self) -> None:
         while True:
@@ -182,7 +183,7 @@
                 self._suspend_watchers(coordinator)
             else:
                 self._lost_at = 0.0
-                self.coordinator_needed.clear()
+                self.store_needed_for_coordinator.clear()
 
     def _on_feed_failure(self, problem: str) -> None:
         """Have the watchers use the store, unless the grace period for the feed still runs."""
@@ -192,7 +193,7 @@
             self.use_store(problem)
         elif problem != STALE:
             # A new coordinator that its predecessor did not report is found in the store.
-            self.coordinator_needed.set()
+            self.store_needed_for_coordinator.set()
 
     def _suspend_watchers(self, coordinator: Coordinator) -> None:
         """Suspend the watchers, unless the coordinator has changed meanwhile."""
@@ -207,7 +208,7 @@
         )
         self._watchers_suspended = True
         self.store_needed.clear()
-        self.coordinator_needed.clear()
+        self.store_needed_for_coordinator.clear()
 
     def _is_current(self, coordinator: Coordinator) -> bool:
         known = self._coordinator()
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -52,7 +52,7 @@
 from runkeel.runners.service import RunnerService
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.state.observed_store import (
-    FOLLOWER_PROBE_INTERVAL_SECONDS,
+    NOT_PREFERRED_PROBE_INTERVAL_SECONDS,
     PROBE_INTERVAL_SECONDS,
     ObservedStore,
 )
@@ -208,7 +208,7 @@
             self._lease,
             self,
             lambda: store.reachable,
-            self._follower.coordinator_needed,
+            self._follower.store_needed_for_coordinator,
             lambda: self.quarantine.ledger.digest,
             self._quarantine_service.gossip.compare_digest,
         )
@@ -417,9 +417,12 @@
             self._journal.close()
 
     def _probe_seconds(self) -> float:
-        """Return the interval in seconds between probes of a failing store."""
-        is_follower = self.configured and not self._settings.preferred_coordinator
-        return FOLLOWER_PROBE_INTERVAL_SECONDS if is_follower else PROBE_INTERVAL_SECONDS
+        """Return the interval in seconds between probes of a failing store.
+
+        It is longer on a node that needs the store neither to coordinate nor for its configuration.
+        """
+        can_wait = self.configured and not self._settings.preferred_coordinator
+        return NOT_PREFERRED_PROBE_INTERVAL_SECONDS if can_wait else PROBE_INTERVAL_SECONDS
 
     def _watch_seconds(self) -> float:
         if self.coordinating:
--- a/src/runkeel/state/document_watcher.py
+++ b/src/runkeel/state/document_watcher.py
@@ -27,10 +27,10 @@
 from runkeel.state.unreadable_documents import UnreadableDocuments
 
 WATCH_TIMEOUT_SECONDS = 29.0
-"""Default time-out of a watch; below 30 s, after which idle connections are commonly closed."""
+"""Default timeout of a watch; below 30 s, after which idle connections are commonly closed."""
 
 BASE_RETRY_DELAY_SECONDS = 0.1
-"""Base of the retry delay, doubled for each consecutive failure; the first delay is twice this.
+"""Half of the first retry delay; the delay doubles with each further consecutive failure.
 
 Delays are shortened at random by up to 30 %.
 """
@@ -39,7 +39,7 @@
 """Upper bound of the retry delay."""
 
 MAX_WATCH_OVERRUN_SECONDS = 0.4
-"""Maximum time by which a response may exceed the watch's time-out.
+"""Maximum time by which a response may exceed the watch's timeout.
 
 If a response is later than this, the copy is only known to have been current when the call started.
 """
@@ -66,7 +66,7 @@
     Args:
         pause_seconds: returns the pause after a watch with changes, which batches them to limit
             the number of calls.
-        watch_seconds: returns the time-out of a watch in seconds. A watch whose response was lost
+        watch_seconds: returns the timeout of a watch in seconds. A watch whose response was lost
             hangs until then.
         store_needed: set while the store must be queried; None if it always must.
         idle_probe_interval_seconds: interval at which a failed store is probed while it need not be
@@ -174,7 +174,7 @@
         self.start()
 
     def restart_watch(self) -> None:
-        """Restart the pending watch with the current time-out."""
+        """Restart the pending watch with the current timeout."""
         if self._task is not None and self.listed.is_set():
             self.stop()
             self.start()
--- a/src/runkeel/state/observed_store.py
+++ b/src/runkeel/state/observed_store.py
@@ -23,12 +23,12 @@
 from runkeel.errors import RunkeelError
 
 PROBE_INTERVAL_SECONDS = 0.4
-"""Interval between calls to a failing store on a node that may become the coordinator."""
+"""Interval between calls to a failing store on a preferred node, or one not configured yet."""
 
-FOLLOWER_PROBE_INTERVAL_SECONDS = 1.5
-"""Interval between calls to a failing store on a follower.
+NOT_PREFERRED_PROBE_INTERVAL_SECONDS = 1.5
+"""Interval between calls to a failing store on a configured node that is not preferred.
 
-Longer, since followers are many and learn from other nodes that the store has recovered.
+Longer, since such nodes are many and learn from other nodes that the store has recovered.
 """
 
 MIN_OUTAGE_SECONDS = 2.0
@@ -41,15 +41,16 @@
 MIN_FAILURE_SPAN_SECONDS = 0.5
 """Minimum time between the first and the last failure of an outage.
 
-If a connection is lost, all calls that wait on it fail at once, which is not an outage. The value
-is below the shortest pause between two calls in an outage of 2 s, which is 0.8 s.
+If a connection is lost, all calls that wait on it fail at once, which is not an outage. On a
+configured node that is not preferred, two failed probes suffice: they start 1.5 s apart, and the
+first one fails within 1 s.
 """
 
 MAX_FAILURE_AGE_SECONDS = 3.0
 """Maximum time between the last failure and the next response of an outage.
 
-After a longer time, the response does not show when the store recovered. Followers call a failing
-store every 1.5 s and wait 1 s for the response.
+After a longer time, the response does not show when the store recovered. Configured nodes that are
+not preferred call a failing store every 1.5 s and wait 1 s for the response.
 """
 
 
--- a/tests/base/test_observed_store.py
+++ b/tests/base/test_observed_store.py
@@ -9,10 +9,10 @@
 from runkeel.errors import RunkeelError
 from runkeel.state.document_watcher import DocumentWatcher
 from runkeel.state.observed_store import (
-    FOLLOWER_PROBE_INTERVAL_SECONDS,
     MAX_FAILURE_AGE_SECONDS,
     MIN_FAILURE_SPAN_SECONDS,
     MIN_OUTAGE_SECONDS,
+    NOT_PREFERRED_PROBE_INTERVAL_SECONDS,
     ObservedStore,
 )
 from runkeel_lab.standins.document_store import MemoryDocumentStore
@@ -53,12 +53,11 @@
         return self.store.recovered_at >= now
 
     def test_recovery_after_an_outage_is_recorded(self):
-        """All copies of a node must agree on the recovery, or some drop what others retain."""
         self.assertTrue(self._recover_after(MIN_OUTAGE_SECONDS))
 
     def test_outage_with_few_probes_is_recorded(self):
-        """A follower may have seen only two failures, the last one 1.5 s before the response."""
-        quiet_seconds = FOLLOWER_PROBE_INTERVAL_SECONDS + CALL_TIMEOUT_SECONDS - 0.1
+        """A node may have seen only two failures, the last one 2.4 s before the response."""
+        quiet_seconds = NOT_PREFERRED_PROBE_INTERVAL_SECONDS + CALL_TIMEOUT_SECONDS - 0.1
         self.assertTrue(
             self._recover_after(quiet_seconds + MIN_FAILURE_SPAN_SECONDS, quiet_seconds)
         )
@@ -66,7 +65,7 @@
     def test_short_failure_is_not_an_outage(self):
         self.assertFalse(self._recover_after(MIN_OUTAGE_SECONDS - 0.1))
 
-    def test_lost_connection_detected_late_is_not_an_outage(self):
+    def test_failures_all_at_once_are_not_an_outage(self):
         self.assertFalse(self._recover_after(MIN_OUTAGE_SECONDS, quiet_seconds=MIN_OUTAGE_SECONDS))
 
     def test_recovery_with_an_old_last_failure_is_not_recorded(self):
