--- a/src/runkeel/errors.py
+++ b/src/runkeel/errors.py
@@ -1,8 +1,7 @@
 """Coded errors and the execution verdict that each one carries.
 
-Every failure that can reach a caller, a trainer or an operator is a
-:class:`RunkeelError`: a stable code, a :class:`Verdict` and an HTTP status
-(rendered as problem+json, RFC 9457).
+Every failure reported to a caller or a trainer is a :class:`RunkeelError`: a stable code, a
+:class:`Verdict` and an HTTP status (rendered as problem+json, RFC 9457).
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """Stable error identifiers; a released one is never renamed."""
+    """Stable error identifiers; a released one is never renamed. Some are no longer raised."""
 
     BAD_REQUEST = "bad_request"
     BAD_DEADLINE = "bad_deadline"
@@ -63,6 +62,7 @@
     STORE_OUTCOME_UNKNOWN = "store_outcome_unknown"
     CONFLICT = "conflict"
     STALE_FENCE = "stale_fence"
+    """The order lease is not held, or can't be used now."""
     DUTY_REFUSED = "duty_refused"
     BAD_COMMAND = "bad_command"
     BAD_CONFIGURATION = "bad_configuration"
--- a/src/runkeel/structured_log.py
+++ b/src/runkeel/structured_log.py
@@ -1,8 +1,9 @@
 """Structured log on standard output, one JSON object per line.
 
 Each line has ``time``, ``node``, ``zone``, ``level``, ``code``, ``message`` and the fields of its
-event. Writing never blocks. The output is rate-limited in bytes per second; dropped lines are
-counted. Part of the burst is reserved for warnings and errors.
+event. Writing never blocks. Lines that exceed a limit in bytes per second, and lines written while
+the output accepts no more data, are dropped and counted. Part of the burst is reserved for warnings
+and errors.
 """
 
 from __future__ import annotations
@@ -19,9 +20,17 @@
 from runkeel.metrics import LOG_LINES_DROPPED
 
 MAX_BYTES_PER_SECOND = 60_000.0
+"""Sustained limit of the output."""
+
 BURST_BYTES = 240_000.0
+"""Maximum number of bytes written at once after a quiet period."""
+
 WARNING_RESERVE_BYTES = 60_000.0
+"""Part of the burst that only warnings and errors may use."""
+
 TYPICAL_LINE_BYTES = 300
+"""Assumed size of a line that has not been serialized yet."""
+
 _WARNING_LEVEL_NUMBER = 30
 
 
@@ -42,7 +51,10 @@
         self._updated = steady_seconds()
 
     def has_capacity(self, important: bool) -> bool:
-        """Return whether a line of typical size fits; checked before a line is serialized."""
+        """Return whether a line of typical size fits.
+
+        Checked first, so that a line that would be dropped need not be serialized.
+        """
         self._refill()
         return self._available - TYPICAL_LINE_BYTES >= (0.0 if important else self._reserve)
 
@@ -93,7 +105,10 @@
         LOG_LINES_DROPPED.inc()
 
     def _flush_unwritten(self) -> bool:
-        """Write the rest of the last line; return False while the descriptor is not writable."""
+        """Write the rest of the last line, or discard it if the descriptor is broken.
+
+        Returns False while the descriptor is not writable.
+        """
         while self._unwritten:
             try:
                 written = os.write(self._descriptor, self._unwritten)
