--- a/src/runkeel/coordinator_term.py
+++ b/src/runkeel/coordinator_term.py
@@ -191,7 +191,7 @@
     def start_tentatively(
         self, copies: Iterable[CopiedJob], unstored_jobs: Iterable[tuple[str, EncodedJob]]
     ) -> None:
-        """Continue running items while the store can't be reached to confirm the coordinator.
+        """Continue running items while the store can't be reached to confirm this term.
 
         Results are not written to the store and engines get no orders before :meth:`start`.
 
@@ -295,31 +295,36 @@
         self.scheduler.wake()
 
     def _on_retirement_requested(self, document: Document, removed: bool) -> None:
-        """Complete a retirement immediately: no machine has data that must be moved first."""
+        """Complete a retirement immediately; nothing is moved off the machine first.
+
+        As after the loss of a machine, copies that other nodes keep replace those on its disk.
+        """
         if not removed:
             self._document_parser.check_retirement(document)
             gevent.spawn(self._retire, document.name)
 
-    def _retire(self, name: str) -> None:
-        if name == self._node_id:
+    def _retire(self, retired_node_id: str) -> None:
+        if retired_node_id == self._node_id:
             # The platform removes the machine as soon as its retirement is completed, so the next
             # coordinator completes it.
             self._hand_over_coordination()
             return
-        self._complete_retirement(name)
+        self._complete_retirement(retired_node_id)
 
-    def _complete_retirement(self, name: str) -> None:
+    def _complete_retirement(self, retired_node_id: str) -> None:
         status = self._document_parser.retirement_status(completed=True)
         while True:
             try:
-                self._store.set_status(DocumentKind.RETIREMENT, name, status)
-                logger.info("machine retirement completed", code="retirement", machine=name)
+                self._store.set_status(DocumentKind.RETIREMENT, retired_node_id, status)
+                logger.info(
+                    "machine retirement completed", code="retirement", machine=retired_node_id
+                )
                 return
             except RunkeelError as error:
                 logger.info(
-                    "completing machine retirement failed; retrying",
+                    "could not write the status of a machine retirement; retrying",
                     code="retirement_delayed",
-                    machine=name,
+                    machine=retired_node_id,
                     error=str(error.code),
                 )
                 gevent.sleep(_RETIREMENT_RETRY_SECONDS)
--- a/src/runkeel/fleet_node.py
+++ b/src/runkeel/fleet_node.py
@@ -71,10 +71,16 @@
 from runkeel.wire.network import PeerNetwork
 
 SHARD = "fleet"
-"""Name of the coordinator's document and the order lease; sent in messages between nodes."""
+"""Name of the only shard, and so of the coordinator's document and the order lease.
+
+Messages between nodes contain it.
+"""
 
 HINT_FOLDER = "jobs"
-"""Subfolder of the data folder for jobs that the store has not accepted yet."""
+"""Subfolder of the data folder for jobs that the store has not accepted yet.
+
+Such a stored job is called a hint. The names of the subfolders are part of the on-disk format.
+"""
 
 PARTIAL_OUTPUT_FOLDER = "texts"
 """Subfolder of the data folder for the journal of partial outputs."""
@@ -85,8 +91,10 @@
 FIRST_ELECTION_DELAY_SECONDS = 1.0
 """Delay of the first election on nodes that are not preferred, when a system first starts.
 
-The preferred nodes elect a coordinator meanwhile, which saves the others futile store calls. The
-feed follower's wait for a first coordinator is extended by the same delay.
+It precedes the first read of the coordinator's document; a node that then finds no coordinator also
+waits for ``NOT_PREFERRED_START_DELAY_SECONDS`` of the election. The preferred nodes elect a
+coordinator meanwhile, which saves the others futile store calls. The feed follower's wait for a
+first coordinator is extended by the same delay.
 """
 
 EXPIRED_BACKEND_GRACE_SECONDS = 2.0
@@ -112,7 +120,8 @@
     Attributes:
         peer_address: address on which other nodes reach this one.
         cluster_key: secret shared by the nodes.
-        incarnation: identifies this process among successive processes of the node.
+        incarnation: identifies this process among successive processes of the node; unrelated to
+            the incarnation of a server.
         order_pause_seconds: minimum time between orders to engines from two different nodes.
         preferred_coordinator: whether this node is preferred over nodes that serve clients when a
             coordinator is elected.
@@ -188,8 +197,8 @@
             self.directory, protocol, settings.zone, self.meter, self.quarantine
         )
         # A replacement machine may have the same node id.
-        machine = f"{settings.node_id}@{settings.peer_address.host}"
-        self._lease = OrderLease(store, SHARD, machine, settings.order_pause_seconds)
+        lease_holder = f"{settings.node_id}@{settings.peer_address.host}"
+        self._lease = OrderLease(store, SHARD, lease_holder, settings.order_pause_seconds)
         self._follower = FeedFollower(
             self._network,
             SHARD,
@@ -342,15 +351,15 @@
         return self._store.reachable
 
     def coordinated_jobs(self) -> list[JobState]:
-        """Return the jobs of this node's term; empty if it does not coordinate."""
+        """Return the jobs of this node's term, which may be tentative; empty if it has none."""
         return self._term.jobs.all() if self._term is not None else []
 
     def newest_versions(self) -> dict[str, int]:
-        """Return the newest version by model; empty if this node does not coordinate."""
+        """Return the newest version by model; empty if this node has no term."""
         return dict(self._term.target_versions) if self._term is not None else {}
 
     def usage_windows(self) -> list[WindowSummary]:
-        """Return usage by window; empty if this node does not coordinate."""
+        """Return usage by window; empty if this node has no term or reports no usage."""
         usage = self._term.usage if self._term is not None else None
         return usage.windows() if usage is not None else []
 
@@ -392,7 +401,7 @@
         return FIRST_ELECTION_DELAY_SECONDS if waits else 0.0
 
     def leave(self) -> None:
-        """Hand over coordination before this node stops."""
+        """End this node's term and claim no further one, so that a successor can take over."""
         self._election.leave()
 
     def flush_usage(self) -> None:
@@ -474,14 +483,14 @@
         self._election.note_successor(address, epoch)
 
     def _on_job_handed_over(self, job_id: str, encoded: EncodedJob) -> None:
-        """Run a job that the store has not accepted yet, if this node coordinates."""
+        """Run a job that the store has not accepted yet, if this node has a term."""
         if self._term is not None:
             self._term.jobs.add_handed_over(job_id, encoded)
 
     def _on_coordinator_changed(self) -> None:
         """End runs of earlier coordinators and offer partial outputs to the new one.
 
-        Earlier coordinators may have lost their copies of the partial outputs.
+        The new coordinator may have no copies, since all likely coordinators may have lost power.
         """
         coordinator = self._election.other_coordinator
         if coordinator is not None:
