--- a/src/runkeel_lab/users_platform/crash_soak.py
+++ b/src/runkeel_lab/users_platform/crash_soak.py
@@ -78,7 +78,7 @@
         servers = rng.choice((self._deployment.applications, self._deployment.engines))
         count = rng.choice((1, 1, 1, len(servers)))
         for server in rng.sample(servers, count):
-            if not server.ended:
+            if not server.crashed:
                 self._deployment.crash(server)
 
     def _send_repeatedly(self, path: str, end: float, rng: random.Random | None = None) -> None:
--- a/src/runkeel_lab/users_platform/deployment.py
+++ b/src/runkeel_lab/users_platform/deployment.py
@@ -179,7 +179,7 @@
 
     def crash(self, server: PlatformServer) -> None:
         """Crash a server, and start its replacement after ``crashes.restart_seconds``."""
-        if not server.ended:
+        if not server.crashed:
             server.crash()
             self._replace_crashed(server)
 
--- a/src/runkeel_lab/users_platform/servers.py
+++ b/src/runkeel_lab/users_platform/servers.py
@@ -77,7 +77,7 @@
 class PlatformServer:
     """An application server.
 
-    ``ended`` is set by :meth:`crash`, but not by :meth:`stop`.
+    ``crashed`` is set by :meth:`crash`, but not by :meth:`stop`.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self.slots = 6
         self.draining = False
         self.running = 0
-        self.ended = False
+        self.crashed = False
         self.crash_plan: CrashPlan | None = None
         self.born_ms = 0
         self.next_incarnation: PlatformServer | None = None
@@ -131,9 +131,9 @@
 
     def crash(self) -> None:
         """Abort the listener and all connections at once; the entry expires later."""
-        if self.ended:
+        if self.crashed:
             return
-        self.ended = True
+        self.crashed = True
         self._server.stop(timeout=0)
         for connection in self._connections:
             connection.abort()
@@ -173,7 +173,7 @@
 
     def report_state(self) -> None:
         """Write the server's entry, unless the server has crashed."""
-        if self.ended:
+        if self.crashed:
             return
         self._store.objects.put("servers", self.server_id, self._entry())
 
@@ -224,7 +224,7 @@
         self.crash_plan.record_reached(environment["PATH_INFO"], self.server_id)
         self._record_run(environment)
         gevent.sleep(self.crash_plan.crash_delay_seconds)
-        if not self.ended:
+        if not self.crashed:
             self.crash()
             self.crash_plan.record_crash(environment["PATH_INFO"], self)
         raise ResponseAbortedError
@@ -363,7 +363,7 @@
         latest = self
         while latest.next_incarnation is not None:
             latest = latest.next_incarnation
-        if not latest.ended:
+        if not latest.crashed:
             latest._execute_order(body, received_at)
 
     def _execute_order(self, body: dict[str, Any], received_at: float) -> str:
--- a/src/runkeel_lab/users_platform/servers_soak.py
+++ b/src/runkeel_lab/users_platform/servers_soak.py
@@ -114,7 +114,7 @@
             f"{name}: does not use {server.server_id}, which began at {server.born_ms}"
             for name in self._deployment.node_names
             for server in servers
-            if not server.ended and not self._uses(name, server)
+            if not server.crashed and not self._uses(name, server)
         ]
 
     def _uses(self, name: str, server: PlatformServer) -> bool:
