--- a/src/runkeel_lab/demo.py
+++ b/src/runkeel_lab/demo.py
@@ -13,7 +13,7 @@
 
 from runkeel.api.usage import UsageSettings
 from runkeel.clock import steady_seconds
-from runkeel_lab.day_picture import RunChart
+from runkeel_lab.run_chart import RunChart
 from runkeel_lab.users_platform.deployment import (
     COUNT_PREFIX,
     MODEL,
