--- a/src/runkeel_lab/standins/document_store.py
+++ b/src/runkeel_lab/standins/document_store.py
@@ -63,7 +63,7 @@
         """Inject a fault into the next ``times`` writes."""
         self._faults.extend([fault] * times)
 
-    def age(self) -> None:
+    def snapshot_for_stale_reads(self) -> None:
         """Serve later ``Freshness.STALE_ALLOWED`` reads from a snapshot of the current state."""
         self._stale_snapshot = self._revision, dict(self._documents)
 
--- a/tests/base/test_document_watcher.py
+++ b/tests/base/test_document_watcher.py
@@ -60,7 +60,7 @@
     def test_watch_updates_a_stale_first_list(self):
         self.store.put(KIND, "a", 1)
         self.store.put(KIND, "gone", 1)
-        self.store.age()
+        self.store.snapshot_for_stale_reads()
         self.store.put(KIND, "b", 1)
         self.store.remove(KIND, "gone")
         self._start_with_stale_list()
@@ -70,7 +70,7 @@
 
     def test_stale_first_list_does_not_confirm_freshness(self):
         self.store.call_seconds = 0.05
-        self.store.age()
+        self.store.snapshot_for_stale_reads()
         self.store.put(KIND, "a", 1)
         self._start_with_stale_list()
         self.watcher.first_list_applied.wait(WAIT_TIMEOUT_SECONDS)
@@ -79,7 +79,7 @@
         self.assertEqual(sorted(self.watcher.documents), ["a"])
 
     def test_current_list_follows_if_history_after_a_stale_list_is_compacted(self):
-        self.store.age()
+        self.store.snapshot_for_stale_reads()
         self.store.put(KIND, "a", 1)
         self.store.compact()
         self._start_with_stale_list()
--- a/tests/jobs/test_job_store.py
+++ b/tests/jobs/test_job_store.py
@@ -101,7 +101,7 @@
     def setUp(self):
         self.store = MemoryDocumentStore()
         self.store.put(DocumentKind.JOB, "old", 1)
-        self.store.age()
+        self.store.snapshot_for_stale_reads()
         self.store.put(DocumentKind.JOB, "new", 2)
 
     def test_outdated_read_is_used_if_it_has_the_document(self):
