--- a/src/runkeel_lab/standins/peer_network.py
+++ b/src/runkeel_lab/standins/peer_network.py
@@ -16,12 +16,12 @@
     """Message handlers of all nodes, and the partitions between them.
 
     Attributes:
-        silent: unreachable nodes; calls from and to them fail at once.
+        unreachable: calls from and to these nodes fail at once.
         dark: nodes that never reply; calls to them time out.
     """
 
     def __init__(self) -> None:
-        self.silent: set[str] = set()
+        self.unreachable: set[str] = set()
         self.dark: set[str] = set()
         self._partitions: set[frozenset[str]] = set()
         self._handlers: dict[tuple[str, int], Handler] = {}
@@ -46,8 +46,10 @@
         """Deliver a message to a node and return its reply."""
         gevent.sleep(0)
         handler = self._handlers.get((node_id, message_type))
-        unreachable = frozenset((caller, node_id)) in self._partitions or node_id in self.silent
-        if handler is None or unreachable or caller in self.silent:
+        unreachable = (
+            frozenset((caller, node_id)) in self._partitions or node_id in self.unreachable
+        )
+        if handler is None or unreachable or caller in self.unreachable:
             raise not_run(ErrorCode.PEER_UNREACHABLE, node_id)
         return handler(caller, message)[1]
 
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -137,7 +137,7 @@
 
     def test_store_is_read_when_the_coordinator_is_silent(self):
         node, _ = self.follower()
-        self.network.silent.add("c")
+        self.network.unreachable.add("c")
         self.objects.put(KIND, "s1", "draining")
         self.wait(lambda: node.content == {"s1": "draining"}, 2.0)
         self.assertFalse(node.following)
@@ -157,9 +157,9 @@
         node, store = self.follower(grace=GRACE_SECONDS)
         gevent.sleep(2 * WATCH_SECONDS)
         before = store.calls
-        self.network.silent.add("c")
+        self.network.unreachable.add("c")
         gevent.sleep(GRACE_SECONDS / 2)
-        self.network.silent.clear()
+        self.network.unreachable.clear()
         self.objects.put(KIND, "s1", "draining")
         self.wait(lambda: node.content == {"s1": "draining"})
         gevent.sleep(GRACE_SECONDS)
@@ -176,7 +176,7 @@
             max(max_copy_age, held) + grace + feed_follower.RETRY_SECONDS, propagation - 0.9
         )
         node, _ = self.follower(grace=GRACE_SECONDS)
-        self.network.silent.add("c")
+        self.network.unreachable.add("c")
         self.objects.put(KIND, "s1", "draining")
         self.wait(lambda: node.content == {"s1": "draining"}, GRACE_SECONDS + 1.5)
         self.assertFalse(node.following)
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -175,7 +175,7 @@
         """Several nodes must not take over one after another, each from the one before."""
         nodes = self._nodes("a", "b", "c", "d")
         first = self._coordinator(nodes)
-        self.network.silent.add(first.node_id)
+        self.network.unreachable.add(first.node_id)
         first.stop()
         others = [node for node in nodes if node is not first]
         self._coordinator(others)
@@ -230,7 +230,7 @@
         gevent.sleep(SETTLE_SECONDS)
         for edge in edges:
             self.stores[edge.node_id].cut = True
-        self.network.silent.add(first.node_id)
+        self.network.unreachable.add(first.node_id)
         first.stop()
         self._wait(lambda: all(edge.coordinator.epoch == 2 for edge in edges))
         successor = next(node for node in disks if node.coordinating and node is not first)
@@ -262,7 +262,7 @@
         first = self._coordinator([*edges, *disks])
         for name in ("disk-1", "disk-2", "edge-1", "edge-2"):
             self.stores[name].cut = True
-        self.network.silent.add(first.node_id)
+        self.network.unreachable.add(first.node_id)
         first.stop()
         gevent.sleep(4 * SETTLE_SECONDS)
         self.assertEqual(len(self.terms), 1, self.terms)
@@ -281,7 +281,7 @@
         gevent.sleep(SETTLE_SECONDS)
         self._cut_all(True)
         gevent.sleep(SETTLE_SECONDS)
-        self.network.silent.add(first.node_id)
+        self.network.unreachable.add(first.node_id)
         first.stop()
         return first
 
@@ -307,10 +307,10 @@
         gevent.sleep(SETTLE_SECONDS)
         self._cut_all(True)
         gevent.sleep(SETTLE_SECONDS)
-        self.network.silent.add(first.node_id)
+        self.network.unreachable.add(first.node_id)
         others = [node for node in nodes if node is not first]
         self._wait(lambda: any(node.tentative for node in others))
-        self.network.silent.clear()
+        self.network.unreachable.clear()
         self._wait(lambda: not any(node.tentative for node in others))
         # A coordinator without the store would be replaced by a node that reaches it.
         self.stores[first.node_id].cut = False
@@ -339,7 +339,7 @@
         nodes = self._nodes("a", "b", "c")
         first = self._coordinator(nodes)
         gevent.sleep(SETTLE_SECONDS)
-        self.network.silent.add(first.node_id)
+        self.network.unreachable.add(first.node_id)
         first.stop()
         others = [node for node in nodes if node is not first]
         self.store.fail_next_write(StoreFault.RESPONSE_LOST, 1)
@@ -353,7 +353,7 @@
         gevent.sleep(SETTLE_SECONDS)
         others = [node for node in nodes if node is not first]
         self.stores[others[0].node_id].cut = True
-        self.network.silent.add(first.node_id)
+        self.network.unreachable.add(first.node_id)
         first.stop()
         self._wait(lambda: others[1].coordinating)
         self.assertEqual(self.tentative_terms, [])
--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -199,9 +199,9 @@
         for name in STORAGE_NODES:
             self.start_node(name)
         self.shared_store.down = True
-        self.network.silent.add("k2")
+        self.network.unreachable.add("k2")
         self.assertIs(self.client().send_hints("j", make_encoded()), HintOutcome.ACCEPTED)
-        self.network.silent.add("k3")
+        self.network.unreachable.add("k3")
         self.assertIs(self.client().send_hints("j2", make_encoded("j2")), HintOutcome.UNSURE)
 
     def test_accepted_when_one_storage_node_reaches_the_store(self):
@@ -234,9 +234,9 @@
         """Nodes that do not reply must not count as having denied the job."""
         for name in STORAGE_NODES:
             self.start_node(name, first_start=True)
-        self.network.silent.add("k1")
+        self.network.unreachable.add("k1")
         self.assertIs(self.client().look_up("j"), HintLookupResult.RULED_OUT)
-        self.network.silent.add("k2")
+        self.network.unreachable.add("k2")
         self.assertIs(self.client().look_up("j"), HintLookupResult.UNSURE)
 
     def test_node_with_a_new_disk_cannot_deny_jobs(self):
--- a/tests/jobs/test_job_copies.py
+++ b/tests/jobs/test_job_copies.py
@@ -56,9 +56,9 @@
 
     def test_lost_update_is_sent_again(self):
         sender = self.sender()
-        self.network.silent.add("next")
+        self.network.unreachable.add("next")
         sender.send_once()
-        self.network.silent.clear()
+        self.network.unreachable.clear()
         listed(self.states[0], 0)
         sender.send_once()
         self.assertEqual(self.kept()["j"].listed, {"j-0"})
--- a/tests/jobs/test_partial_output_handover.py
+++ b/tests/jobs/test_partial_output_handover.py
@@ -61,7 +61,7 @@
 
     def test_outputs_are_offered_again_to_a_later_coordinator(self):
         """Guards against losing all copies with a coordinator that fails after a handover."""
-        self.network.silent.add("next")
+        self.network.unreachable.add("next")
         self.keeper.offer("next", 4)
         gevent.sleep(0.05)
         self.assertEqual(self.receiver.adopted, {})
@@ -71,11 +71,11 @@
 
     def test_failed_offer_is_retried(self):
         """Guards against losing an offer on a stale connection to a restarted coordinator."""
-        self.network.silent.add("next")
+        self.network.unreachable.add("next")
         self.keeper.offer("next", 4)
         gevent.sleep(0.05)
         self.assertEqual(self.receiver.adopted, {})
-        self.network.silent.discard("next")
+        self.network.unreachable.discard("next")
         self._wait(lambda: len(self.receiver.adopted) == 2)
 
     def test_a_coordinator_is_offered_the_outputs_once(self):
--- a/tests/jobs/test_partial_output_replication.py
+++ b/tests/jobs/test_partial_output_replication.py
@@ -101,10 +101,10 @@
     def test_lost_update_is_sent_again(self):
         output = self.outputs["i"] = make_output("x")
         self.sender.send_once()
-        self.network.silent.add("b")
+        self.network.unreachable.add("b")
         output.pieces.append("y")
         self.sender.send_once()
-        self.network.silent.clear()
+        self.network.unreachable.clear()
         output.pieces.append("z")
         self.sender.send_once()
         self.assertEqual(self.copies.take()["i"].pieces, ["x", "y", "z"])
@@ -179,7 +179,7 @@
         self.assertEqual({name: output.pieces for name, output in taken.items()}, {"i": ["x", "y"]})
 
     def test_unreachable_successor_raises_no_error(self):
-        self.network.silent.add("b")
+        self.network.unreachable.add("b")
         self.outputs["i"] = make_output("x")
         self.sender.send_once()
         with self.assertRaises(RunkeelError) as caught:
