--- a/src/runkeel_lab/standins/peer_network.py
+++ b/src/runkeel_lab/standins/peer_network.py
@@ -17,12 +17,12 @@
 
     Attributes:
         unreachable: calls from and to these nodes fail at once.
-        dark: nodes that never reply; calls to them time out.
+        unresponsive: nodes that never reply; calls to them time out.
     """
 
     def __init__(self) -> None:
         self.unreachable: set[str] = set()
-        self.dark: set[str] = set()
+        self.unresponsive: set[str] = set()
         self._partitions: set[frozenset[str]] = set()
         self._handlers: dict[tuple[str, int], Handler] = {}
 
@@ -72,7 +72,7 @@
         reply_class: type,
         timeout_seconds: float,
     ) -> Any:
-        if node_id in self._network.dark:
+        if node_id in self._network.unresponsive:
             gevent.sleep(timeout_seconds)
             raise may_have_run(ErrorCode.DEADLINE_EXCEEDED, f"{timeout_seconds} s")
         return self._network.call(self._node_id, node_id, message_type, message)
--- a/tests/coordination/test_document_feed.py
+++ b/tests/coordination/test_document_feed.py
@@ -225,7 +225,7 @@
 
     def test_starting_node_soon_reads_the_store_if_the_coordinator_hangs(self):
         """The node refuses clients until it has documents."""
-        self.network.dark.add("c")
+        self.network.unresponsive.add("c")
         node = _Node(self.network, self.objects, "n")
         self.follow(node, self.coordinator)
         with unittest.mock.patch.object(
