--- a/src/runkeel_lab/users_platform/crashes.py
+++ b/src/runkeel_lab/users_platform/crashes.py
@@ -22,7 +22,7 @@
     """Defines which requests crash servers; shared by all servers of a deployment.
 
     Args:
-        on_ended: called with each crashed server, to start its replacement.
+        on_crash: called with each crashed server, to start its replacement.
 
     Attributes:
         paths: a request to one of these paths crashes the server that runs it.
