--- a/tests/handoff/test_hints.py
+++ b/tests/handoff/test_hints.py
@@ -43,6 +43,8 @@
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
+        # A disk write that runs in the thread pool continues after its service has stopped.
+        self.addCleanup(gevent.get_hub().threadpool.join)
         self.folder = Path(folder.name)
 
     def wait(self, condition):
